--- a/src/celeryramp/limits/account_share.cpp
+++ b/src/celeryramp/limits/account_share.cpp
@@ -9,9 +9,10 @@
 
 namespace internal {
 
-constexpr double kMaxGrantLifeSeconds = 0.2;
+constexpr double kMaxGrantLifetimeSeconds = 0.2;
 constexpr std::size_t kMaxMintersPerZone = 4;
-constexpr double kBurstPerMinter = 30.0; /*!< Smaller buckets waste their fractions. */
+// Calls. A bucket only grants whole calls, and in a smaller bucket the unused fraction weighs more.
+constexpr double kBurstPerMinter = 30.0;
 
 } // namespace internal
 
@@ -29,18 +30,18 @@
 std::vector<std::string> mintersOf(const Snapshot &snapshot, const ClientAccount &account,
                                    const std::string &zone)
 {
-    std::vector<std::pair<std::uint64_t, std::string>> ranked;
+    std::vector<std::pair<std::uint64_t, std::string>> servers;
     for (const auto *server : snapshot.serversIn(zone)) {
-        ranked.emplace_back(stableHash({account.name, server->name}), server->name);
+        servers.emplace_back(stableHash({account.name, server->name}), server->name);
     }
-    std::sort(ranked.begin(), ranked.end());
+    std::sort(servers.begin(), servers.end());
     const auto zones = static_cast<double>(std::max<std::size_t>(1, mintingZones(snapshot).size()));
-    const auto wanted = static_cast<std::size_t>(
+    const auto minterCount = static_cast<std::size_t>(
             std::max(1.0, account.burst / (zones * internal::kBurstPerMinter)));
-    ranked.resize(std::min({ranked.size(), wanted, internal::kMaxMintersPerZone}));
+    servers.resize(std::min({servers.size(), minterCount, internal::kMaxMintersPerZone}));
     std::vector<std::string> names;
-    names.reserve(ranked.size());
-    for (auto &[hash, name] : ranked) {
+    names.reserve(servers.size());
+    for (auto &[hash, name] : servers) {
         names.push_back(std::move(name));
     }
     return names;
@@ -48,9 +49,10 @@
 
 Millis grantLife(const ClientAccount &account)
 {
-    const auto whole = account.burst / account.rate;
-    const auto life = std::min(internal::kMaxGrantLifeSeconds, whole / 4.0);
-    return Millis{std::max<std::int64_t>(1, static_cast<std::int64_t>(std::floor(life * 1000.0)))};
+    const auto refillSeconds = account.burst / account.rate;
+    const auto seconds = std::min(internal::kMaxGrantLifetimeSeconds, refillSeconds / 4.0);
+    return Millis{
+            std::max<std::int64_t>(1, static_cast<std::int64_t>(std::floor(seconds * 1000.0)))};
 }
 
 AccountShare shareOf(const Snapshot &snapshot, const ClientAccount &account,
@@ -69,9 +71,9 @@
     share.ratePerSecond = account.rate * double(kMicroTokensPerCall) / divisor;
     share.grantLife = grantLife(account);
     const auto burst = account.burst * double(kMicroTokensPerCall) / divisor;
-    const auto lifeSeconds = std::chrono::duration<double>(share.grantLife).count();
+    const auto lifetimeSeconds = std::chrono::duration<double>(share.grantLife).count();
     share.capacity = std::max<MicroTokens>(
-            0, static_cast<MicroTokens>(std::floor(burst - share.ratePerSecond * lifeSeconds)));
+            0, static_cast<MicroTokens>(std::floor(burst - share.ratePerSecond * lifetimeSeconds)));
     return share;
 }
 
--- a/src/celeryramp/limits/fwd.h
+++ b/src/celeryramp/limits/fwd.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the limits module: client account rates over the whole fleet.
+ *  Forward declarations of the limits module, which enforces the rates of client accounts across
+ *  all nodes.
  */
 
 namespace celeryramp {
--- a/src/celeryramp/limits/grant.h
+++ b/src/celeryramp/limits/grant.h
@@ -5,12 +5,12 @@
 
 namespace celeryramp {
 
-/*! @brief What a minter gave. */
+/*! @brief Reply of a minter to a request for tokens. */
 struct Grant
 {
     MicroTokens granted = 0;
-    MicroTokens left = 0; /*!< Level of the minter's bucket afterwards. */
-    Millis life{0}; /*!< Life of the grant, counted by the asker from before it asked. */
+    MicroTokens left = 0; /*!< Level of the minter's bucket after the grant. */
+    Millis life{0}; /*!< Lifetime, starting when the requester sends its request. */
 };
 
 } // namespace celeryramp
--- a/src/celeryramp/limits/minter.cpp
+++ b/src/celeryramp/limits/minter.cpp
@@ -7,7 +7,7 @@
 
 namespace internal {
 
-[[nodiscard]] AccountShare smaller(const AccountShare &a, const AccountShare &b)
+[[nodiscard]] AccountShare minShare(const AccountShare &a, const AccountShare &b)
 {
     return {std::min(a.ratePerSecond, b.ratePerSecond), std::min(a.capacity, b.capacity),
             std::min(a.grantLife, b.grantLife)};
@@ -22,16 +22,16 @@
     std::map<std::string, Bucket> buckets;
     for (const auto &[name, account] : m_snapshot->model().accounts) {
         const auto share = shareOf(*m_snapshot, account, m_self);
-        const auto known = m_buckets.find(name);
-        const bool isKnown = known != m_buckets.end();
-        if (share.ratePerSecond == 0.0 && !isKnown) {
+        const auto previous = m_buckets.find(name);
+        const bool exists = previous != m_buckets.end();
+        if (share.ratePerSecond == 0.0 && !exists) {
             continue;
         }
-        auto bucket = isKnown ? known->second : Bucket{{}, {}, {}, now, 0.0};
+        auto bucket = exists ? previous->second : Bucket{{}, {}, {}, now, 0.0};
         refill(bucket, now);
-        bucket.share = first ? share : internal::smaller(bucket.share, share);
-        bucket.next = share;
-        bucket.growsAt = now + kShareGrowthDelay;
+        bucket.share = first ? share : internal::minShare(bucket.share, share);
+        bucket.nextShare = share;
+        bucket.nextShareFrom = now + kShareGrowthDelay;
         bucket.level = std::min(bucket.level, double(bucket.share.capacity));
         buckets.emplace(name, bucket);
     }
@@ -47,8 +47,9 @@
     auto &bucket = it->second;
     refill(bucket, now);
     const auto level = static_cast<MicroTokens>(std::floor(bucket.level));
-    const auto most = std::clamp<MicroTokens>(wanted, 0, level);
-    const auto granted = most - most % kMicroTokensPerCall; // parts of a call would only expire
+    const auto available = std::clamp<MicroTokens>(wanted, 0, level);
+    const auto granted
+            = available - available % kMicroTokensPerCall; // A fraction of a call expires unused.
     bucket.level -= double(granted);
     return {granted, level - granted, bucket.share.grantLife};
 }
@@ -78,9 +79,9 @@
     if (m_suspended) {
         return;
     }
-    if (now >= bucket.growsAt) {
-        mint(bucket, std::max(bucket.growsAt, bucket.mintedAt));
-        bucket.share = bucket.next;
+    if (now >= bucket.nextShareFrom) {
+        mint(bucket, std::max(bucket.nextShareFrom, bucket.mintedAt));
+        bucket.share = bucket.nextShare;
     }
     mint(bucket, now);
 }
--- a/src/celeryramp/limits/minter.h
+++ b/src/celeryramp/limits/minter.h
@@ -11,15 +11,18 @@
 
 namespace celeryramp {
 
-/*! @brief After a change, a share that grows waits until every node has the change in force. */
+/*!
+ * @brief Time from a configuration change until an increased share takes effect.
+ * Gives all nodes time to apply the change first.
+ */
 inline constexpr Millis kShareGrowthDelay{10'000};
 
 /*!
- * @brief Mints this server's shares of client accounts and gives tokens to whoever asks.
+ * @brief Issues tokens for this server's shares of client accounts.
  *
- * Tokens are debited before the grant is sent: a lost grant loses tokens and never doubles them.
- * A new incarnation starts empty, so that what its predecessor gave is not given again. The view
- * of membership plays no part.
+ * Tokens are debited before the grant is sent, so a lost grant loses its tokens but never issues
+ * them twice. The buckets of a new incarnation start empty, so that tokens which the previous one
+ * granted are not granted again. Cluster membership has no influence on the shares.
  */
 class Minter
 {
@@ -27,33 +30,42 @@
     /*! @param self Name of this node's server. */
     explicit Minter(std::string self) : m_self{std::move(self)} { }
 
-    /*! @brief A configuration came in force. Shares that shrink do so now, others later. */
+    /*!
+     * @brief Applies a new configuration.
+     * A reduced rate, capacity or lifetime takes effect immediately, an increased one after
+     * `kShareGrowthDelay`. The first configuration takes effect immediately.
+     */
     void onSnapshot(SnapshotPtr snapshot, TimePoint now);
 
     /*!
-     * @brief Gives up to the wanted amount.
-     * @return What was given and what is left; nothing for accounts this server does not mint.
+     * @brief Debits up to the wanted amount, in whole calls, from the bucket of an account.
+     * @return Granted amount and remaining level; both zero if this server is not a minter of the
+     * account.
      */
     [[nodiscard]] Grant take(const std::string &account, MicroTokens wanted, TimePoint now);
 
     /*!
-     * @brief The process was paused: empties all buckets and mints nothing until told.
-     * Meanwhile a successor may hold this server's slot.
+     * @brief Empties all buckets and stops minting until `resume` is called.
+     * To be called after the process was paused, since a successor may have taken over this
+     * server's slot in the meantime.
      */
     void suspend(TimePoint now);
 
-    /*! @brief A peer or the platform confirmed that this process is still in its slot. */
+    /*!
+     * @brief Starts minting again, with empty buckets, after `suspend`.
+     * To be called when a peer or the platform confirms that this process still holds its slot.
+     */
     void resume(TimePoint now);
 
-    /*! @return Number of accounts this server mints for. */
+    /*! @return Number of accounts that have a bucket on this server. */
     [[nodiscard]] std::size_t size() const noexcept { return m_buckets.size(); }
 
 private:
     struct Bucket
     {
-        AccountShare share; /*!< In force now. */
-        AccountShare next; /*!< In force from `growsAt` on. */
-        TimePoint growsAt;
+        AccountShare share; /*!< Share that currently applies. */
+        AccountShare nextShare; /*!< Share that applies from `nextShareFrom` on. */
+        TimePoint nextShareFrom;
         TimePoint mintedAt;
         double level = 0.0;
     };
--- a/src/celeryramp/limits/tokens.h
+++ b/src/celeryramp/limits/tokens.h
@@ -4,10 +4,10 @@
 
 namespace celeryramp {
 
-/*! @brief Amount of tokens in millionths; one call costs `kMicroTokensPerCall`. */
+/*! @brief Amount of tokens in millionths of a token. */
 using MicroTokens = std::int64_t;
 
-/*! @brief Price of one call. */
+/*! @brief Cost of one call: one token. */
 inline constexpr MicroTokens kMicroTokensPerCall = 1'000'000;
 
 } // namespace celeryramp
--- a/src/celeryramp/limits/wallet.cpp
+++ b/src/celeryramp/limits/wallet.cpp
@@ -10,11 +10,11 @@
 namespace internal {
 
 constexpr double kDemandWindowSeconds = 1.0;
-constexpr double kWorthAsking = 0.2 * double(kMicroTokensPerCall);
-constexpr std::size_t kMaxAsksPerCall = 8;
-constexpr double kPrefetchSeconds = 0.05; /*!< Calls held in advance, at the smoothed rate. */
-constexpr double kMaxPrefetchShare = 0.25; /*!< Part of a minter's bucket taken at once. */
-constexpr Millis kAskTimeout{500};
+constexpr double kMinRequestLevel = 0.2 * double(kMicroTokensPerCall);
+constexpr std::size_t kMaxRequestsPerCall = 8;
+constexpr double kPrefetchSeconds = 0.05; // Prefetched tokens cover this time at current demand.
+constexpr double kMaxPrefetchShare = 0.25; // Fraction of a minter's bucket capacity.
+constexpr Millis kRequestTimeout{500};
 constexpr Millis kUnreachablePause{1000};
 
 } // namespace internal
@@ -22,48 +22,49 @@
 void Wallet::onSnapshot(SnapshotPtr snapshot, TimePoint now)
 {
     m_snapshot = std::move(snapshot);
-    for (auto it = m_purses.begin(); it != m_purses.end();) {
+    for (auto it = m_entries.begin(); it != m_entries.end();) {
         const auto *account = m_snapshot->findAccount(it->first);
         if (account == nullptr) {
-            it = m_purses.erase(it);
+            it = m_entries.erase(it);
             continue;
         }
-        fillEstimates(it->second, *account, now);
+        resetEstimates(it->second, *account, now);
         ++it;
     }
 }
 
-AdmissionResult Wallet::admit(const ClientAccount &account, std::vector<std::string> &tried,
+AdmissionResult Wallet::admit(const ClientAccount &account, std::vector<std::string> &triedMinters,
                               TimePoint now)
 {
     if (!m_snapshot) {
         return {};
     }
-    dropOverdue(now);
-    auto &purse = purseOf(account, now);
-    dropExpired(purse, now);
-    if (tried.empty()) {
-        noteDemand(purse, now);
+    expireRequests(now);
+    auto &entry = entryOf(account, now);
+    dropExpiredCredits(entry, now);
+    if (triedMinters.empty()) {
+        updateDemand(entry, now);
     }
-    if (const auto held = total(purse); held >= kMicroTokensPerCall) {
-        debit(purse, kMicroTokensPerCall);
+    if (const auto available = totalCredits(entry); available >= kMicroTokensPerCall) {
+        debit(entry, kMicroTokensPerCall);
         AdmissionResult result{Admission::Admitted, std::nullopt};
-        const auto ahead = purse.demandPerSecond * internal::kPrefetchSeconds;
-        const auto left = double(held) / double(kMicroTokensPerCall) - 1.0;
-        if (ahead >= 1.0 && left < ahead / 2.0 && purse.asksInFlight == 0) {
-            if (auto *minter = choose(purse, {}, now);
+        const auto prefetchCalls = entry.demandPerSecond * internal::kPrefetchSeconds;
+        const auto remaining = double(available) / double(kMicroTokensPerCall) - 1.0;
+        if (prefetchCalls >= 1.0 && remaining < prefetchCalls / 2.0
+            && entry.requestsInFlight == 0) {
+            if (auto *minter = chooseMinter(entry, {}, now);
                 minter != nullptr && minter->level >= double(kMicroTokensPerCall)) {
-                result.ask = ask(purse, account, *minter, false, now);
+                result.ask = requestTokens(entry, account, *minter, false, now);
             }
         }
         return result;
     }
-    auto *minter = choose(purse, tried, now);
+    auto *minter = chooseMinter(entry, triedMinters, now);
     if (minter == nullptr) {
         return {Admission::Refused, std::nullopt};
     }
-    tried.push_back(minter->name);
-    return {Admission::Wait, ask(purse, account, *minter, true, now)};
+    triedMinters.push_back(minter->name);
+    return {Admission::Wait, requestTokens(entry, account, *minter, true, now)};
 }
 
 void Wallet::onGrant(std::uint64_t id, const Grant &grant, TimePoint now)
@@ -74,27 +75,27 @@
     }
     const auto pending = std::move(it->second);
     m_pending.erase(it);
-    const auto purse = m_purses.find(pending.ask.account);
-    if (purse == m_purses.end()) {
+    const auto entry = m_entries.find(pending.request.account);
+    if (entry == m_entries.end()) {
         return;
     }
-    --purse->second.asksInFlight;
-    for (auto &minter : purse->second.minters) {
-        if (minter.name == pending.ask.minter) {
+    --entry->second.requestsInFlight;
+    for (auto &minter : entry->second.minters) {
+        if (minter.name == pending.request.minter) {
             minter.level = double(grant.left);
-            minter.at = now;
+            minter.updatedAt = now;
             minter.blockedUntil = now;
         }
     }
-    const auto expiresAt = pending.askedAt + std::min(pending.life, grant.life);
+    const auto expiresAt = pending.requestedAt + std::min(pending.life, grant.life);
     if (grant.granted <= 0 || expiresAt <= now) {
         return;
     }
-    auto &credits = purse->second.credits;
-    const auto place = std::upper_bound(
+    auto &credits = entry->second.credits;
+    const auto position = std::upper_bound(
             credits.begin(), credits.end(), expiresAt,
             [](TimePoint at, const Credit &credit) { return at < credit.expiresAt; });
-    credits.insert(place, Credit{std::min(grant.granted, pending.ask.amount), expiresAt});
+    credits.insert(position, Credit{std::min(grant.granted, pending.request.amount), expiresAt});
 }
 
 std::string Wallet::onUnreachable(std::uint64_t id, TimePoint now)
@@ -105,136 +106,141 @@
     }
     const auto pending = std::move(it->second);
     m_pending.erase(it);
-    if (const auto purse = m_purses.find(pending.ask.account); purse != m_purses.end()) {
-        --purse->second.asksInFlight;
-        for (auto &minter : purse->second.minters) {
-            if (minter.name == pending.ask.minter) {
+    if (const auto entry = m_entries.find(pending.request.account); entry != m_entries.end()) {
+        --entry->second.requestsInFlight;
+        for (auto &minter : entry->second.minters) {
+            if (minter.name == pending.request.minter) {
                 minter.blockedUntil = now + internal::kUnreachablePause;
             }
         }
     }
-    return pending.ask.account;
+    return pending.request.account;
 }
 
 MicroTokens Wallet::balance(const std::string &account, TimePoint now)
 {
-    const auto it = m_purses.find(account);
-    if (it == m_purses.end()) {
+    const auto it = m_entries.find(account);
+    if (it == m_entries.end()) {
         return 0;
     }
-    dropExpired(it->second, now);
-    return total(it->second);
+    dropExpiredCredits(it->second, now);
+    return totalCredits(it->second);
 }
 
-Wallet::Purse &Wallet::purseOf(const ClientAccount &account, TimePoint now)
+Wallet::AccountEntry &Wallet::entryOf(const ClientAccount &account, TimePoint now)
 {
-    const auto [it, added] = m_purses.try_emplace(account.name);
+    const auto [it, added] = m_entries.try_emplace(account.name);
     if (added) {
         it->second.lastCall = now;
-        fillEstimates(it->second, account, now);
+        resetEstimates(it->second, account, now);
     }
     return it->second;
 }
 
-void Wallet::fillEstimates(Purse &purse, const ClientAccount &account, TimePoint now) const
+void Wallet::resetEstimates(AccountEntry &entry, const ClientAccount &account, TimePoint now) const
 {
-    purse.minters.clear();
+    entry.minters.clear();
     for (const auto &zone : mintingZones(*m_snapshot)) {
         for (const auto &name : mintersOf(*m_snapshot, account, zone)) {
             const auto share = shareOf(*m_snapshot, account, name);
-            purse.minters.push_back({name, zone == m_zone, double(share.capacity),
+            entry.minters.push_back({name, zone == m_zone, double(share.capacity),
                                      double(share.capacity), share.ratePerSecond, now, now});
         }
     }
 }
 
-void Wallet::noteDemand(Purse &purse, TimePoint now)
+void Wallet::updateDemand(AccountEntry &entry, TimePoint now)
 {
-    const auto gap = std::max(0.0, secondsBetween(purse.lastCall, now));
-    purse.demandPerSecond *= std::exp(-gap / internal::kDemandWindowSeconds);
-    purse.demandPerSecond += 1.0 / internal::kDemandWindowSeconds;
-    purse.lastCall = now;
+    const auto elapsed = std::max(0.0, secondsBetween(entry.lastCall, now));
+    entry.demandPerSecond *= std::exp(-elapsed / internal::kDemandWindowSeconds);
+    entry.demandPerSecond += 1.0 / internal::kDemandWindowSeconds;
+    entry.lastCall = now;
 }
 
-void Wallet::dropExpired(Purse &purse, TimePoint now)
+void Wallet::dropExpiredCredits(AccountEntry &entry, TimePoint now)
 {
-    while (!purse.credits.empty() && purse.credits.front().expiresAt <= now) {
-        purse.credits.pop_front();
+    while (!entry.credits.empty() && entry.credits.front().expiresAt <= now) {
+        entry.credits.pop_front();
     }
 }
 
-MicroTokens Wallet::total(const Purse &purse)
+MicroTokens Wallet::totalCredits(const AccountEntry &entry)
 {
     MicroTokens sum = 0;
-    for (const auto &credit : purse.credits) {
+    for (const auto &credit : entry.credits) {
         sum += credit.amount;
     }
     return sum;
 }
 
-void Wallet::debit(Purse &purse, MicroTokens amount)
+void Wallet::debit(AccountEntry &entry, MicroTokens amount)
 {
     while (amount > 0) {
-        auto &first = purse.credits.front();
+        auto &first = entry.credits.front();
         const auto part = std::min(first.amount, amount);
         first.amount -= part;
         amount -= part;
         if (first.amount == 0) {
-            purse.credits.pop_front();
+            entry.credits.pop_front();
         }
     }
 }
 
-Wallet::MinterEstimate *Wallet::choose(Purse &purse, const std::vector<std::string> &tried,
-                                       TimePoint now) const
+Wallet::MinterEstimate *Wallet::chooseMinter(AccountEntry &entry,
+                                             const std::vector<std::string> &triedMinters,
+                                             TimePoint now) const
 {
     MinterEstimate *best = nullptr;
-    auto inReach = double(total(purse));
+    auto availableTokens = double(totalCredits(entry));
     const auto better = [](const MinterEstimate &a, const MinterEstimate &b) {
-        const bool aNear = a.sameZone && a.level >= double(kMicroTokensPerCall);
-        const bool bNear = b.sameZone && b.level >= double(kMicroTokensPerCall);
-        return aNear != bNear ? aNear : a.level > b.level;
+        const bool aPreferred = a.sameZone && a.level >= double(kMicroTokensPerCall);
+        const bool bPreferred = b.sameZone && b.level >= double(kMicroTokensPerCall);
+        return aPreferred != bPreferred ? aPreferred : a.level > b.level;
     };
-    for (auto &minter : purse.minters) {
-        if (now > minter.at) {
-            const auto minted = minter.ratePerSecond * secondsBetween(minter.at, now);
+    for (auto &minter : entry.minters) {
+        if (now > minter.updatedAt) {
+            const auto minted = minter.ratePerSecond * secondsBetween(minter.updatedAt, now);
             minter.level = std::min(minter.capacity, minter.level + minted);
-            minter.at = now;
+            minter.updatedAt = now;
         }
-        const bool wasTried = std::find(tried.begin(), tried.end(), minter.name) != tried.end();
-        if (wasTried || minter.blockedUntil > now) {
+        const bool isTried = std::find(triedMinters.begin(), triedMinters.end(), minter.name)
+                != triedMinters.end();
+        if (isTried || minter.blockedUntil > now) {
             continue;
         }
-        inReach += minter.level;
+        availableTokens += minter.level;
         if (best == nullptr || better(minter, *best)) {
             best = &minter;
         }
     }
-    // Estimates are upper bounds: others may have taken tokens, nobody can have added any.
-    const bool hopeless = best == nullptr || best->level < internal::kWorthAsking
-            || inReach < double(kMicroTokensPerCall) || tried.size() >= internal::kMaxAsksPerCall;
-    return hopeless ? nullptr : best;
+    // Estimated levels are upper bounds: other nodes may have taken tokens since, and the estimates
+    // already include everything that was minted.
+    const bool isRefused = best == nullptr || best->level < internal::kMinRequestLevel
+            || availableTokens < double(kMicroTokensPerCall)
+            || triedMinters.size() >= internal::kMaxRequestsPerCall;
+    return isRefused ? nullptr : best;
 }
 
-TokenAsk Wallet::ask(Purse &purse, const ClientAccount &account, MinterEstimate &minter,
-                     bool isWaiting, TimePoint now)
+TokenAsk Wallet::requestTokens(AccountEntry &entry, const ClientAccount &account,
+                               MinterEstimate &minter, bool isWaiting, TimePoint now)
 {
     const auto price = double(kMicroTokensPerCall);
-    const auto ahead = std::min(purse.demandPerSecond * internal::kPrefetchSeconds * price,
-                                minter.capacity * internal::kMaxPrefetchShare);
-    const auto prefetched = std::floor(std::max(0.0, ahead) / price);
-    const auto calls = std::max(1.0, prefetched + (isWaiting ? 1.0 : 0.0));
+    const auto prefetchAmount = std::min(entry.demandPerSecond * internal::kPrefetchSeconds * price,
+                                         minter.capacity * internal::kMaxPrefetchShare);
+    const auto prefetchCalls = std::floor(std::max(0.0, prefetchAmount) / price);
+    const auto calls = std::max(1.0, prefetchCalls + (isWaiting ? 1.0 : 0.0));
     const auto amount = static_cast<MicroTokens>(calls * price);
-    TokenAsk ask{++m_lastId, minter.name, account.name, amount};
+    TokenAsk request{++m_lastId, minter.name, account.name, amount};
     minter.level = std::max(0.0, minter.level - double(amount));
-    ++purse.asksInFlight;
-    m_pending.emplace(ask.id, Pending{ask, now, grantLife(account)});
-    return ask;
+    ++entry.requestsInFlight;
+    m_pending.emplace(request.id, PendingRequest{request, now, grantLife(account)});
+    return request;
 }
 
-void Wallet::dropOverdue(TimePoint now)
+void Wallet::expireRequests(TimePoint now)
 {
-    while (!m_pending.empty() && now - m_pending.begin()->second.askedAt >= internal::kAskTimeout) {
+    while (!m_pending.empty()
+           && now - m_pending.begin()->second.requestedAt >= internal::kRequestTimeout) {
         onUnreachable(m_pending.begin()->first, now);
     }
 }
--- a/src/celeryramp/limits/wallet.h
+++ b/src/celeryramp/limits/wallet.h
@@ -14,7 +14,7 @@
 
 namespace celeryramp {
 
-/*! @brief A request for tokens that the wallet wants sent. */
+/*! @brief Request for tokens, to be sent to a minter. */
 struct TokenAsk
 {
     std::uint64_t id = 0;
@@ -23,14 +23,14 @@
     MicroTokens amount = 0;
 };
 
-/*! @brief What becomes of a call that wants to be admitted. */
+/*! @brief Result of trying to admit a call. */
 enum class Admission {
-    Admitted, /*!< One call's price was debited. */
-    Wait, /*!< Tokens were asked for; try again when a grant arrives. */
-    Refused /*!< Every minter that may have tokens was asked. */
+    Admitted, /*!< The cost of the call was debited. */
+    Wait, /*!< Tokens were requested; try again when the grant arrives or the request fails. */
+    Refused /*!< No configuration yet, or no minter is left that may have enough tokens. */
 };
 
-/*! @brief Decision on one call with what is to be sent for it. */
+/*! @brief Decision on one call, with the request to send if tokens are needed. */
 struct AdmissionResult
 {
     Admission admission = Admission::Refused;
@@ -38,35 +38,47 @@
 };
 
 /*!
- * @brief Prepaid tokens of client accounts at one entry node.
+ * @brief Caches granted tokens of client accounts at one entry node.
  *
- * A grant lives from before it was asked for, by this node's own clock, so that neither delays nor
- * clock differences lengthen it. The common call is admitted without a message.
+ * The lifetime of a grant starts when the request is made, measured by this node's own clock, so
+ * that neither message delays nor clock differences extend it. Tokens are requested in advance, so
+ * that most calls are admitted without a message.
  */
 class Wallet
 {
 public:
-    /*! @param zone Zone of this node, whose minters are asked first. */
+    /*! @param zone Zone of this node; its minters are preferred. */
     explicit Wallet(std::string zone) : m_zone{std::move(zone)} { }
 
-    /*! @brief A configuration came in force: estimates start anew, balances stay. */
+    /*!
+     * @brief Applies a new configuration.
+     * Resets the estimates and keeps the balances, except those of removed accounts.
+     */
     void onSnapshot(SnapshotPtr snapshot, TimePoint now);
 
     /*!
      * @brief Tries to admit one call.
-     * @param account Account to charge. @param tried Minters that this call already waited for.
-     * @param now Present time.
+     * @param account Account to charge.
+     * @param triedMinters Minters that were already asked for this call; a minter that is asked now
+     * is appended.
+     * @param now Current time.
      */
     [[nodiscard]] AdmissionResult admit(const ClientAccount &account,
-                                        std::vector<std::string> &tried, TimePoint now);
+                                        std::vector<std::string> &triedMinters, TimePoint now);
 
-    /*! @brief A grant arrived. Late and unknown ones are dropped: their tokens are lost. */
+    /*!
+     * @brief Adds the tokens of a grant that arrived.
+     * The tokens of an expired grant or of one without a pending request are lost.
+     */
     void onGrant(std::uint64_t id, const Grant &grant, TimePoint now);
 
-    /*! @brief A minter could not be reached; the ask is given up. @return Account that asked. */
+    /*!
+     * @brief Drops a request whose minter could not be reached and avoids that minter for a second.
+     * @return Account of the request; empty if the request is not pending.
+     */
     std::string onUnreachable(std::uint64_t id, TimePoint now);
 
-    /*! @return True while an ask waits for its grant. */
+    /*! @return True while a request waits for its grant. */
     [[nodiscard]] bool isPending(std::uint64_t id) const { return m_pending.count(id) > 0; }
 
     /*! @return Unspent, unexpired micro-tokens of an account. */
@@ -85,40 +97,41 @@
         double level = 0.0;
         double capacity = 0.0;
         double ratePerSecond = 0.0;
-        TimePoint at;
+        TimePoint updatedAt;
         TimePoint blockedUntil;
     };
-    struct Purse
+    struct AccountEntry
     {
-        std::deque<Credit> credits; /*!< Soonest to expire first. */
+        std::deque<Credit> credits; /*!< Ordered by expiry, earliest first. */
         std::vector<MinterEstimate> minters;
-        double demandPerSecond = 0.0; /*!< Smoothed rate of calls here. */
+        double demandPerSecond = 0.0; /*!< Smoothed rate of calls at this node. */
         TimePoint lastCall;
-        int asksInFlight = 0;
+        int requestsInFlight = 0;
     };
-    struct Pending
+    struct PendingRequest
     {
-        TokenAsk ask;
-        TimePoint askedAt;
+        TokenAsk request;
+        TimePoint requestedAt;
         Millis life{0};
     };
 
-    [[nodiscard]] Purse &purseOf(const ClientAccount &account, TimePoint now);
-    void fillEstimates(Purse &purse, const ClientAccount &account, TimePoint now) const;
-    static void noteDemand(Purse &purse, TimePoint now);
-    static void dropExpired(Purse &purse, TimePoint now);
-    [[nodiscard]] static MicroTokens total(const Purse &purse);
-    static void debit(Purse &purse, MicroTokens amount);
-    [[nodiscard]] MinterEstimate *choose(Purse &purse, const std::vector<std::string> &tried,
-                                         TimePoint now) const;
-    [[nodiscard]] TokenAsk ask(Purse &purse, const ClientAccount &account, MinterEstimate &minter,
-                               bool isWaiting, TimePoint now);
-    void dropOverdue(TimePoint now);
+    [[nodiscard]] AccountEntry &entryOf(const ClientAccount &account, TimePoint now);
+    void resetEstimates(AccountEntry &entry, const ClientAccount &account, TimePoint now) const;
+    static void updateDemand(AccountEntry &entry, TimePoint now);
+    static void dropExpiredCredits(AccountEntry &entry, TimePoint now);
+    [[nodiscard]] static MicroTokens totalCredits(const AccountEntry &entry);
+    static void debit(AccountEntry &entry, MicroTokens amount);
+    [[nodiscard]] MinterEstimate *chooseMinter(AccountEntry &entry,
+                                               const std::vector<std::string> &triedMinters,
+                                               TimePoint now) const;
+    [[nodiscard]] TokenAsk requestTokens(AccountEntry &entry, const ClientAccount &account,
+                                         MinterEstimate &minter, bool isWaiting, TimePoint now);
+    void expireRequests(TimePoint now);
 
     std::string m_zone;
     SnapshotPtr m_snapshot;
-    std::map<std::string, Purse> m_purses;
-    std::map<std::uint64_t, Pending> m_pending;
+    std::map<std::string, AccountEntry> m_entries;
+    std::map<std::uint64_t, PendingRequest> m_pending;
     std::uint64_t m_lastId = 0;
 };
 
--- a/test/limits/rate_bound.cpp
+++ b/test/limits/rate_bound.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/*! Wallets and minters of a fleet, joined by messages that are delayed, lost and doubled. */
+/*! Wallets and minters of several nodes; tests delay, lose or duplicate the messages between them.
+ */
 class Fleet
 {
 public:
@@ -32,35 +33,38 @@
 
     [[nodiscard]] const std::vector<std::string> &names() const { return m_names; }
     [[nodiscard]] const std::vector<std::int64_t> &admitted() const { return m_admitted; }
-    [[nodiscard]] std::size_t waiting() const { return m_asks.size() + m_grants.size(); }
+    [[nodiscard]] std::size_t pendingMessages() const
+    {
+        return m_requests.size() + m_grants.size();
+    }
 
-    /*! A call enters at a node; at most one wait is followed up in `deliver`. */
+    /*! Tries to admit a call at a node. If it has to wait, `deliver` tries again. */
     bool call(const std::string &name, std::int64_t now)
     {
         std::vector<std::string> tried;
         return admit(name, tried, now);
     }
 
-    void deliver(std::size_t pick, std::int64_t now, bool lose, bool twice)
+    void deliver(std::size_t index, std::int64_t now, bool lose, bool duplicate)
     {
-        if (!m_asks.empty() && (m_grants.empty() || pick % 2 == 0)) {
-            const auto i = pick % m_asks.size();
-            const auto ask = m_asks[i];
-            m_asks.erase(m_asks.begin() + std::ptrdiff_t(i));
-            for (int n = lose ? 0 : (twice ? 2 : 1); n > 0; --n) {
-                const auto grant = m_minters.at(ask.ask.minter)
-                                           .take(ask.ask.account, ask.ask.amount, at(now));
-                m_grants.push_back({ask.from, ask.ask.id, grant, ask.tried});
+        if (!m_requests.empty() && (m_grants.empty() || index % 2 == 0)) {
+            const auto i = index % m_requests.size();
+            const auto request = m_requests[i];
+            m_requests.erase(m_requests.begin() + std::ptrdiff_t(i));
+            for (int n = lose ? 0 : (duplicate ? 2 : 1); n > 0; --n) {
+                const auto grant = m_minters.at(request.ask.minter)
+                                           .take(request.ask.account, request.ask.amount, at(now));
+                m_grants.push_back({request.from, request.ask.id, grant, request.tried});
             }
         } else if (!m_grants.empty()) {
-            const auto i = pick % m_grants.size();
-            const auto letter = m_grants[i];
+            const auto i = index % m_grants.size();
+            const auto message = m_grants[i];
             m_grants.erase(m_grants.begin() + std::ptrdiff_t(i));
-            for (int n = lose ? 0 : (twice ? 2 : 1); n > 0; --n) {
-                m_wallets.at(letter.to).onGrant(letter.id, letter.grant, at(now));
-                auto tried = letter.tried;
+            for (int n = lose ? 0 : (duplicate ? 2 : 1); n > 0; --n) {
+                m_wallets.at(message.to).onGrant(message.id, message.grant, at(now));
+                auto tried = message.tried;
                 if (!tried.empty()) {
-                    admit(letter.to, tried, now);
+                    admit(message.to, tried, now);
                 }
             }
         }
@@ -82,13 +86,13 @@
     Minter &minter(const std::string &name) { return m_minters.at(name); }
 
 private:
-    struct Ask
+    struct RequestMessage
     {
         std::string from;
         TokenAsk ask;
         std::vector<std::string> tried;
     };
-    struct GrantLetter
+    struct GrantMessage
     {
         std::string to;
         std::uint64_t id = 0;
@@ -101,7 +105,7 @@
         const auto &account = *m_snapshot->findAccount("acme");
         const auto result = m_wallets.at(name).admit(account, tried, at(now));
         if (result.ask) {
-            m_asks.push_back(
+            m_requests.push_back(
                     {name, *result.ask,
                      result.admission == Admission::Wait ? tried : std::vector<std::string>{}});
         }
@@ -115,12 +119,13 @@
     std::vector<std::string> m_names;
     std::map<std::string, Minter> m_minters;
     std::map<std::string, Wallet> m_wallets;
-    std::deque<Ask> m_asks;
-    std::deque<GrantLetter> m_grants;
+    std::deque<RequestMessage> m_requests;
+    std::deque<GrantMessage> m_grants;
     std::vector<std::int64_t> m_admitted;
 };
 
-/*! Largest number of calls above rate * window + burst in any window; at most 0 when kept. */
+/*! Largest excess over rate * window + burst in calls, over all windows; 0 or less if the bound
+ *  holds. */
 double excess(const std::vector<std::int64_t> &times, double rate, double burst)
 {
     double worst = -burst;
@@ -135,7 +140,7 @@
 
 } // namespace
 
-TEST_CASE("shares of all minters add up to the account's rate and burst, never more")
+TEST_CASE("the shares of all minters never exceed the account's rate and burst")
 {
     REQUIRE(rc::check("any fleet", [] {
         testsupport::SampleShape shape;
@@ -149,9 +154,9 @@
         double bound = 0.0;
         for (const auto &[name, server] : snapshot->model().servers) {
             const auto share = shareOf(*snapshot, account, name);
-            const auto life = std::chrono::duration<double>(share.grantLife).count();
+            const auto lifetime = std::chrono::duration<double>(share.grantLife).count();
             rate += share.ratePerSecond / double(kMicroTokensPerCall);
-            bound += (double(share.capacity) + share.ratePerSecond * life)
+            bound += (double(share.capacity) + share.ratePerSecond * lifetime)
                     / double(kMicroTokensPerCall);
         }
         RC_ASSERT(rate <= shape.rate * (1.0 + 1e-9));
@@ -159,7 +164,8 @@
     }));
 }
 
-TEST_CASE("no schedule of loss, delay, doubling, restarts and changes exceeds rate and burst")
+TEST_CASE("lost or delayed messages and restarts and configuration changes never exceed rate and "
+          "burst")
 {
     REQUIRE(rc::check("random schedules", [] {
         testsupport::SampleShape shape;
@@ -174,20 +180,20 @@
         std::size_t turn = 0;
         double rate = shape.rate;
         double burst = shape.burst;
-        for (const auto &[what, wait] : steps) {
+        for (const auto &[action, delay] : steps) {
             const auto &name = fleet.names()[turn++ % fleet.names().size()];
-            now += wait < 40 ? wait / 8 : wait * 4;
-            if (what < 50) {
+            now += delay < 40 ? delay / 8 : delay * 4;
+            if (action < 50) {
                 fleet.call(name, now);
-            } else if (what < 90) {
-                fleet.deliver(static_cast<std::size_t>(what) * 31 + turn, now, what % 10 == 0,
+            } else if (action < 90) {
+                fleet.deliver(static_cast<std::size_t>(action) * 31 + turn, now, action % 10 == 0,
                               false);
-            } else if (what < 94) {
+            } else if (action < 94) {
                 fleet.restartMinter(name, now);
-            } else if (what < 96) {
+            } else if (action < 96) {
                 fleet.minter(name).suspend(at(now));
                 fleet.minter(name).resume(at(now + 1));
-            } else if (what < 98) {
+            } else if (action < 98) {
                 auto changed = shape;
                 changed.rate = shape.rate * 2;
                 changed.burst = shape.burst * 2;
@@ -200,7 +206,7 @@
     }));
 }
 
-TEST_CASE("a share that grows waits, a share that shrinks does not")
+TEST_CASE("an increased share takes effect after a delay and a reduced share immediately")
 {
     const auto before = testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0});
     const auto more = testsupport::sampleSnapshot(2, {1, 1, 1000.0, 1000.0});
@@ -218,7 +224,7 @@
     REQUIRE(minter.take("acme", all, at(later + 1400)).granted <= 10 * kMicroTokensPerCall);
 }
 
-TEST_CASE("a new incarnation starts empty")
+TEST_CASE("the buckets of a new incarnation start empty")
 {
     Minter minter{"s-z0-0"};
     minter.onSnapshot(testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0}), at(0));
@@ -226,7 +232,7 @@
     REQUIRE(minter.take("other", kMicroTokensPerCall, at(1000)).granted == 0);
 }
 
-TEST_CASE("a suspended minter gives nothing until it resumes")
+TEST_CASE("a suspended minter grants nothing until it resumes")
 {
     Minter minter{"s-z0-0"};
     minter.onSnapshot(testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0}), at(0));
@@ -237,7 +243,7 @@
     REQUIRE(minter.take("acme", kMicroTokensPerCall, at(2100)).granted == kMicroTokensPerCall);
 }
 
-TEST_CASE("grants that come late are worth nothing")
+TEST_CASE("an expired grant adds no tokens")
 {
     const auto snapshot = testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0});
     Wallet wallet{"z0"};
@@ -245,12 +251,12 @@
     std::vector<std::string> tried;
     const auto result = wallet.admit(*snapshot->findAccount("acme"), tried, at(0));
     REQUIRE(result.ask);
-    const auto life = grantLife(*snapshot->findAccount("acme"));
-    wallet.onGrant(result.ask->id, {result.ask->amount, 0, life}, at(life.count()));
-    REQUIRE(wallet.balance("acme", at(life.count())) == 0);
+    const auto lifetime = grantLife(*snapshot->findAccount("acme"));
+    wallet.onGrant(result.ask->id, {result.ask->amount, 0, lifetime}, at(lifetime.count()));
+    REQUIRE(wallet.balance("acme", at(lifetime.count())) == 0);
 }
 
-TEST_CASE("calls that come as fast as the rate are not refused")
+TEST_CASE("calls within the rate are almost never refused")
 {
     Fleet fleet{{3, 2, 200.0, 100.0}};
     int refused = 0;
@@ -258,7 +264,7 @@
     for (int i = 0; i < 1000; ++i, now += 6) {
         const auto before = fleet.admitted().size();
         fleet.call(fleet.names()[static_cast<std::size_t>(i) % fleet.names().size()], now);
-        while (fleet.waiting() > 0) {
+        while (fleet.pendingMessages() > 0) {
             fleet.deliver(0, now, false, false);
         }
         refused += fleet.admitted().size() == before ? 1 : 0;
