--- a/src/celeryramp/limits/wallet.cpp
+++ b/src/celeryramp/limits/wallet.cpp
@@ -48,9 +48,9 @@
     if (const auto available = totalCredits(entry); available >= kMicroTokensPerCall) {
         debit(entry, kMicroTokensPerCall);
         AdmissionResult result{Admission::Admitted, std::nullopt};
-        const auto prefetchCalls = entry.demandPerSecond * internal::kPrefetchSeconds;
+        const auto prefetchTarget = entry.demandPerSecond * internal::kPrefetchSeconds;
         const auto remaining = double(available) / double(kMicroTokensPerCall) - 1.0;
-        if (prefetchCalls >= 1.0 && remaining < prefetchCalls / 2.0
+        if (prefetchTarget >= 1.0 && remaining < prefetchTarget / 2.0
             && entry.requestsInFlight == 0) {
             if (auto *minter = chooseMinter(entry, {}, now);
                 minter != nullptr && minter->level >= double(kMicroTokensPerCall)) {
--- a/src/celeryramp/routing/fwd.h
+++ b/src/celeryramp/routing/fwd.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the routing module: which gate gets a call, and whether to try another.
+ *  Forward declarations of the routing module, which chooses the gate for a call and limits
+ *  retries.
  */
 
 namespace celeryramp {
--- a/src/celeryramp/routing/load_table.cpp
+++ b/src/celeryramp/routing/load_table.cpp
@@ -7,46 +7,46 @@
 
 namespace internal {
 
-constexpr double kFadeSeconds = 0.25;
-constexpr Millis kFirstShun{200};
-constexpr Millis kLongestShun{5000};
-constexpr Millis kRefusalShun{50};
-constexpr int kMaxDoublings = 5;
+constexpr double kLoadDecaySeconds = 0.25;
+constexpr Millis kMinBackoff{200};
+constexpr Millis kMaxBackoff{5000};
+constexpr Millis kRefusalBackoff{50};
+constexpr int kMaxBackoffDoublings = 5;
 
 } // namespace internal
 
 void LoadTable::sent(const std::string &server)
 {
-    ++m_entries[server].underWay;
+    ++m_entries[server].inFlight;
 }
 
 void LoadTable::answered(const std::string &server, const GateLoad &load, TimePoint now)
 {
     auto &entry = m_entries[server];
-    end(entry);
+    onCallEnded(entry);
     entry.load = load;
-    entry.at = now;
-    entry.failures = 0;
-    entry.shunnedUntil = {};
+    entry.loadReportedAt = now;
+    entry.consecutiveFailures = 0;
+    entry.backoffUntil = {};
 }
 
 void LoadTable::failed(const std::string &server, TimePoint now)
 {
     auto &entry = m_entries[server];
-    end(entry);
-    const auto doublings = std::min(entry.failures, internal::kMaxDoublings);
-    const auto pause = std::min(internal::kLongestShun, internal::kFirstShun * (1 << doublings));
-    ++entry.failures;
-    entry.shunnedUntil = now + pause;
+    onCallEnded(entry);
+    const auto doublings = std::min(entry.consecutiveFailures, internal::kMaxBackoffDoublings);
+    const auto backoff = std::min(internal::kMaxBackoff, internal::kMinBackoff * (1 << doublings));
+    ++entry.consecutiveFailures;
+    entry.backoffUntil = now + backoff;
 }
 
 void LoadTable::refused(const std::string &server, const GateLoad &load, TimePoint now)
 {
     auto &entry = m_entries[server];
-    end(entry);
+    onCallEnded(entry);
     entry.load = load;
-    entry.at = now;
-    entry.shunnedUntil = std::max(entry.shunnedUntil, now + internal::kRefusalShun);
+    entry.loadReportedAt = now;
+    entry.backoffUntil = std::max(entry.backoffUntil, now + internal::kRefusalBackoff);
 }
 
 double LoadTable::pressure(const std::string &server, TimePoint now) const
@@ -56,27 +56,28 @@
         return 0.0;
     }
     const auto &entry = it->second;
-    const auto freshness = std::exp(-secondsBetween(entry.at, now) / internal::kFadeSeconds);
+    const auto freshness
+            = std::exp(-secondsBetween(entry.loadReportedAt, now) / internal::kLoadDecaySeconds);
     const auto reported = double(entry.load.running + entry.load.queued) * freshness;
-    const auto own = double(entry.underWay);
-    return std::max(reported, own) / std::max(1.0, double(entry.load.limit));
+    const auto ownCalls = double(entry.inFlight);
+    return std::max(reported, ownCalls) / std::max(1.0, double(entry.load.limit));
 }
 
-bool LoadTable::isShunned(const std::string &server, TimePoint now) const
+bool LoadTable::isBackingOff(const std::string &server, TimePoint now) const
 {
     const auto it = m_entries.find(server);
-    return it != m_entries.end() && it->second.shunnedUntil > now;
+    return it != m_entries.end() && it->second.backoffUntil > now;
 }
 
-int LoadTable::underWay(const std::string &server) const
+int LoadTable::inFlight(const std::string &server) const
 {
     const auto it = m_entries.find(server);
-    return it == m_entries.end() ? 0 : it->second.underWay;
+    return it == m_entries.end() ? 0 : it->second.inFlight;
 }
 
-void LoadTable::end(Entry &entry)
+void LoadTable::onCallEnded(Entry &entry)
 {
-    entry.underWay = std::max(0, entry.underWay - 1);
+    entry.inFlight = std::max(0, entry.inFlight - 1);
 }
 
 } // namespace celeryramp
--- a/src/celeryramp/routing/retry_budget.cpp
+++ b/src/celeryramp/routing/retry_budget.cpp
@@ -6,17 +6,17 @@
 
 void RetryBudget::onFirstAttempt(const std::string &service)
 {
-    auto &saved = m_saved.try_emplace(service, m_initial).first->second;
-    saved = std::min(m_reserve, saved + m_share);
+    auto &balance = m_balances.try_emplace(service, m_initialBalance).first->second;
+    balance = std::min(m_maxBalance, balance + m_ratio);
 }
 
 bool RetryBudget::trySpend(const std::string &service)
 {
-    auto &saved = m_saved.try_emplace(service, m_initial).first->second;
-    if (saved < 1.0) {
+    auto &balance = m_balances.try_emplace(service, m_initialBalance).first->second;
+    if (balance < 1.0) {
         return false;
     }
-    saved -= 1.0;
+    balance -= 1.0;
     return true;
 }
 
--- a/src/celeryramp/routing/retry_budget.h
+++ b/src/celeryramp/routing/retry_budget.h
@@ -6,31 +6,34 @@
 namespace celeryramp {
 
 /*!
- * @brief Allows repeated executions as a share of first attempts, per service.
- * Refusals of gates before anything ran do not count: trying another gate executes nothing twice.
+ * @brief Limits retries per service to a fraction of the first attempts.
+ *
+ * An attempt that a gate refused before it ran needs no budget, since trying another gate does not
+ * execute the request twice.
  */
 class RetryBudget
 {
 public:
     /*!
-     * @param share Repetitions per first attempt. @param reserve Repetitions saved up at most.
-     * @param initial Repetitions saved up for a service before its first attempt.
+     * @param ratio Retries that each first attempt adds to the budget.
+     * @param maxBalance Maximum number of retries that can accumulate.
+     * @param initialBalance Retries available to a service before its first attempt.
      */
-    explicit RetryBudget(double share = 0.05, double reserve = 10.0, double initial = 0.0)
-        : m_share{share}, m_reserve{reserve}, m_initial{initial}
+    explicit RetryBudget(double ratio = 0.05, double maxBalance = 10.0, double initialBalance = 0.0)
+        : m_ratio{ratio}, m_maxBalance{maxBalance}, m_initialBalance{initialBalance}
     { }
 
-    /*! @brief A first attempt was made. */
+    /*! @brief Counts a first attempt, which adds to the budget of its service. */
     void onFirstAttempt(const std::string &service);
 
-    /*! @return True when a repetition is allowed; it is then spent. */
+    /*! @brief Spends one retry if the budget allows it. @return True if the retry is allowed. */
     [[nodiscard]] bool trySpend(const std::string &service);
 
 private:
-    double m_share;
-    double m_reserve;
-    double m_initial;
-    std::map<std::string, double> m_saved;
+    double m_ratio;
+    double m_maxBalance;
+    double m_initialBalance;
+    std::map<std::string, double> m_balances;
 };
 
 } // namespace celeryramp
--- a/src/celeryramp/routing/zone_ramp.cpp
+++ b/src/celeryramp/routing/zone_ramp.cpp
@@ -6,7 +6,7 @@
 
 namespace internal {
 
-constexpr double kFirstWeight = 0.1;
+constexpr double kInitialWeight = 0.1;
 
 } // namespace internal
 
@@ -15,16 +15,16 @@
     std::map<std::string, Entry> zones;
     for (const auto &[name, zone] : snapshot.model().zones) {
         const bool inService = zone.status == ZoneStatus::InService;
-        const auto known = m_zones.find(name);
-        const bool was = known != m_zones.end() && known->second.inService;
-        Entry entry{inService, known != m_zones.end() ? known->second.fullAt : now};
-        if (inService && !was && !m_first) {
-            entry.fullAt = now + kZoneRampTime;
+        const auto previous = m_zones.find(name);
+        const bool wasInService = previous != m_zones.end() && previous->second.inService;
+        Entry entry{inService, previous != m_zones.end() ? previous->second.fullWeightAt : now};
+        if (inService && !wasInService && !m_isFirstSnapshot) {
+            entry.fullWeightAt = now + kZoneRampTime;
         }
         zones.emplace(name, entry);
     }
     m_zones = std::move(zones);
-    m_first = false;
+    m_isFirstSnapshot = false;
 }
 
 double ZoneRamp::weight(const std::string &zone, TimePoint now) const
@@ -33,9 +33,9 @@
     if (it == m_zones.end() || !it->second.inService) {
         return 0.0;
     }
-    const auto left = secondsBetween(now, it->second.fullAt);
-    const auto whole = std::chrono::duration<double>(kZoneRampTime).count();
-    return std::clamp(1.0 - left / whole, internal::kFirstWeight, 1.0);
+    const auto remaining = secondsBetween(now, it->second.fullWeightAt);
+    const auto rampSeconds = std::chrono::duration<double>(kZoneRampTime).count();
+    return std::clamp(1.0 - remaining / rampSeconds, internal::kInitialWeight, 1.0);
 }
 
 } // namespace celeryramp
--- a/src/celeryramp/routing/zone_ramp.h
+++ b/src/celeryramp/routing/zone_ramp.h
@@ -8,28 +8,32 @@
 
 namespace celeryramp {
 
-/*! @brief Time over which a returning zone is given its full part again. */
+/*! @brief Time until a zone that returns to service has its full weight again. */
 inline constexpr Millis kZoneRampTime{5000};
 
-/*! @brief Share of calls that may consider a zone: 0 out of service, rising to 1 after return. */
+/*!
+ * @brief Computes the weight of each zone: the fraction of calls that may consider it.
+ * The weight is 0 while the zone is out of service. When the zone returns to service, the weight
+ * rises linearly to 1, starting at no less than 0.1, within `kZoneRampTime`.
+ */
 class ZoneRamp
 {
 public:
-    /*! @brief A configuration came in force. Zones of the first one need no ramp. */
+    /*! @brief Applies a new configuration. Zones of the first one start at full weight. */
     void onSnapshot(const Snapshot &snapshot, TimePoint now);
 
-    /*! @return 0 to 1; 0 for unknown zones and those out of service. */
+    /*! @return Weight from 0 to 1; 0 for unknown zones and those out of service. */
     [[nodiscard]] double weight(const std::string &zone, TimePoint now) const;
 
 private:
     struct Entry
     {
         bool inService = false;
-        TimePoint fullAt;
+        TimePoint fullWeightAt;
     };
 
     std::map<std::string, Entry> m_zones;
-    bool m_first = true;
+    bool m_isFirstSnapshot = true;
 };
 
 } // namespace celeryramp
--- a/test/routing/picker.cpp
+++ b/test/routing/picker.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-struct Desk
+struct Fixture
 {
     SnapshotPtr snapshot = testsupport::sampleSnapshot(1, {3, 3, 100.0, 50.0});
     Picker picker{"z0", 1};
@@ -21,7 +21,7 @@
     std::vector<std::string> excluded;
     std::set<std::string> closed;
 
-    Desk() { zones.onSnapshot(*snapshot, at(0)); }
+    Fixture() { zones.onSnapshot(*snapshot, at(0)); }
 
     std::string pick(std::int64_t now)
     {
@@ -29,10 +29,10 @@
         return picker.pick(*snapshot, "stock", excluded, isOpen, loads, zones, at(now));
     }
 
-    std::map<std::string, int> picks(int n, std::int64_t now)
+    std::map<std::string, int> picks(int count, std::int64_t now)
     {
         std::map<std::string, int> counts;
-        for (int i = 0; i < n; ++i) {
+        for (int i = 0; i < count; ++i) {
             ++counts[pick(now)];
         }
         return counts;
@@ -41,93 +41,93 @@
 
 } // namespace
 
-TEST_CASE("calls stay in their zone and spread over it")
+TEST_CASE("calls stay in their zone and are distributed over its servers")
 {
-    Desk desk;
-    const auto counts = desk.picks(3000, 0);
+    Fixture fixture;
+    const auto counts = fixture.picks(3000, 0);
     REQUIRE(counts.size() == 3);
-    for (const auto &[server, n] : counts) {
+    for (const auto &[server, count] : counts) {
         REQUIRE(server.rfind("s-z0-", 0) == 0);
-        REQUIRE(n > 700);
+        REQUIRE(count > 700);
     }
 }
 
-TEST_CASE("calls spill when home is full and others are not")
+TEST_CASE("calls spill over to another zone when the local servers are full")
 {
-    Desk desk;
+    Fixture fixture;
     for (int i = 0; i < 3; ++i) {
-        desk.loads.sent("s-z0-" + std::to_string(i));
-        desk.loads.answered("s-z0-" + std::to_string(i), {4, 4, 4}, at(0));
+        fixture.loads.sent("s-z0-" + std::to_string(i));
+        fixture.loads.answered("s-z0-" + std::to_string(i), {4, 4, 4}, at(0));
     }
-    REQUIRE(desk.pick(1).rfind("s-z0-", 0) == std::string::npos);
-    // Old figures fade: nobody is shunned for long for having been busy once.
-    REQUIRE(desk.pick(5000).rfind("s-z0-", 0) == 0);
+    REQUIRE(fixture.pick(1).rfind("s-z0-", 0) == std::string::npos);
+    // The reported load decays, so a server that was busy once is picked again.
+    REQUIRE(fixture.pick(5000).rfind("s-z0-", 0) == 0);
 }
 
-TEST_CASE("closed, excluded and failing servers are passed over")
+TEST_CASE("closed or excluded or failing servers are not picked")
 {
-    Desk desk;
-    desk.closed = {"s-z0-0"};
-    desk.excluded = {"s-z0-1"};
-    REQUIRE(desk.picks(100, 0) == std::map<std::string, int>{{"s-z0-2", 100}});
-    desk.loads.sent("s-z0-2");
-    desk.loads.failed("s-z0-2", at(0));
-    REQUIRE(desk.pick(1).rfind("s-z0-", 0) == std::string::npos);
-    REQUIRE(desk.pick(10'000) == "s-z0-2");
+    Fixture fixture;
+    fixture.closed = {"s-z0-0"};
+    fixture.excluded = {"s-z0-1"};
+    REQUIRE(fixture.picks(100, 0) == std::map<std::string, int>{{"s-z0-2", 100}});
+    fixture.loads.sent("s-z0-2");
+    fixture.loads.failed("s-z0-2", at(0));
+    REQUIRE(fixture.pick(1).rfind("s-z0-", 0) == std::string::npos);
+    REQUIRE(fixture.pick(10'000) == "s-z0-2");
 }
 
-TEST_CASE("when every server fails, one is tried all the same")
+TEST_CASE("a server is picked even when all servers fail")
 {
-    Desk desk;
-    for (const auto &[name, server] : desk.snapshot->model().servers) {
-        desk.loads.sent(name);
-        desk.loads.failed(name, at(0));
+    Fixture fixture;
+    for (const auto &[name, server] : fixture.snapshot->model().servers) {
+        fixture.loads.sent(name);
+        fixture.loads.failed(name, at(0));
     }
-    REQUIRE_FALSE(desk.pick(1).empty());
-    for (const auto &[name, server] : desk.snapshot->model().servers) {
-        desk.excluded.push_back(name);
+    REQUIRE_FALSE(fixture.pick(1).empty());
+    for (const auto &[name, server] : fixture.snapshot->model().servers) {
+        fixture.excluded.push_back(name);
     }
-    REQUIRE(desk.pick(1).empty());
+    REQUIRE(fixture.pick(1).empty());
 }
 
-TEST_CASE("a zone out of service gets nothing, a returning one little at first")
+TEST_CASE("a zone out of service gets no calls and a returning one few at first")
 {
-    Desk desk;
+    Fixture fixture;
     auto parts = testsupport::sampleParts({3, 3, 100.0, 50.0});
     const auto in = parts["zones"];
     auto &zones = parts["zones"];
     zones.replace(zones.find("\"in\""), 4, "\"out\"");
     const auto out = buildSnapshot(makeDocument(2, parts)).value();
-    desk.snapshot = out;
-    desk.zones.onSnapshot(*out, at(0));
-    for (const auto &[server, n] : desk.picks(500, 1)) {
+    fixture.snapshot = out;
+    fixture.zones.onSnapshot(*out, at(0));
+    for (const auto &[server, count] : fixture.picks(500, 1)) {
         REQUIRE(server.rfind("s-z0-", 0) == std::string::npos);
     }
     parts["zones"] = in;
-    desk.snapshot = buildSnapshot(makeDocument(3, parts)).value();
-    desk.zones.onSnapshot(*desk.snapshot, at(1000));
-    const auto homeShare = [&](std::int64_t now) {
-        int home = 0;
-        for (const auto &[server, n] : desk.picks(1000, now)) {
-            home += server.rfind("s-z0-", 0) == 0 ? n : 0;
+    fixture.snapshot = buildSnapshot(makeDocument(3, parts)).value();
+    fixture.zones.onSnapshot(*fixture.snapshot, at(1000));
+    const auto localPicksAt = [&](std::int64_t now) {
+        int localPicks = 0;
+        for (const auto &[server, count] : fixture.picks(1000, now)) {
+            localPicks += server.rfind("s-z0-", 0) == 0 ? count : 0;
         }
-        return home;
+        return localPicks;
     };
-    REQUIRE(homeShare(1000) < 200);
-    REQUIRE(homeShare(3500) > 350);
-    REQUIRE(homeShare(1000 + kZoneRampTime.count()) == 1000);
+    REQUIRE(localPicksAt(1000) < 200);
+    REQUIRE(localPicksAt(3500) > 350);
+    REQUIRE(localPicksAt(1000 + kZoneRampTime.count()) == 1000);
 }
 
-TEST_CASE("repetitions are a share of first attempts")
+TEST_CASE("retries are limited to a fraction of first attempts")
 {
     RetryBudget budget{0.05, 10.0};
     REQUIRE_FALSE(budget.trySpend("stock"));
-    int spent = 0;
+    int retries = 0;
     for (int i = 0; i < 10'000; ++i) {
         budget.onFirstAttempt("stock");
-        spent += budget.trySpend("stock") ? 1 : 0;
+        retries += budget.trySpend("stock") ? 1 : 0;
     }
-    REQUIRE(spent <= 500);
-    REQUIRE(spent >= 490);
+    REQUIRE(retries <= 500);
+    REQUIRE(retries >= 490);
     REQUIRE_FALSE(budget.trySpend("orders"));
 }
