--- a/src/celeryramp/http/answer_reader.cpp
+++ b/src/celeryramp/http/answer_reader.cpp
@@ -10,7 +10,7 @@
 
 namespace internal {
 
-/*! Largest header of an answer, in bytes; servers of the mesh send well under 1 KB. */
+/*! Largest accepted response header, in bytes. Backend servers send well under 1 KB. */
 constexpr std::uint32_t kAnswerHeaderBytes = 32 * 1024;
 
 } // namespace internal
--- a/src/celeryramp/http/answer_reader.h
+++ b/src/celeryramp/http/answer_reader.h
@@ -8,41 +8,50 @@
 
 namespace celeryramp::http {
 
-/*! @brief Reads the answers of a server from a stream of bytes. */
+/*! @brief Parses HTTP/1.1 responses incrementally from a byte stream. */
 class AnswerReader
 {
 public:
     enum class State {
-        Idle, /*!< No byte of an answer yet. */
-        Partial, /*!< Within an answer. */
-        Done, /*!< A whole answer can be taken. */
-        Bad /*!< The bytes are no answer. */
+        Idle, /*!< No byte of the current response was parsed. */
+        Partial, /*!< The current response is incomplete. */
+        Done, /*!< A complete response is available. */
+        Bad /*!< The bytes are not a valid response. */
     };
 
-    /*! @param bodyLimit Largest body accepted, in bytes. */
+    /*! @param bodyLimit Largest accepted body, in bytes. */
     explicit AnswerReader(std::size_t bodyLimit);
     ~AnswerReader();
     AnswerReader(const AnswerReader &) = delete;
     AnswerReader &operator=(const AnswerReader &) = delete;
 
-    /*! @brief Prepares for the answer to a request. @param isHead It has no body. */
+    /*!
+     * @brief Discards the current response and prepares for the next one. Unparsed bytes are kept.
+     * @param isHead True if the request uses the HEAD method, so that the response has no body.
+     */
     void expect(bool isHead);
 
-    /*! @brief Appends bytes and reads on. */
+    /*!
+     * @brief Appends bytes and parses them up to the end of the current response. Interim (1xx)
+     * responses are skipped.
+     */
     State feed(std::string_view bytes);
 
-    /*! @brief The stream ended in order. An answer without length is then whole. */
+    /*! @brief Handles an orderly end of the stream, which completes a response without a length. */
     State finish();
 
-    /*! @return The answer; `expect` prepares for the next. */
+    /*!
+     * @return The complete response; requires `State::Done`. Call `expect` before parsing the next
+     * one.
+     */
     [[nodiscard]] Answer take();
 
     [[nodiscard]] State state() const noexcept { return m_state; }
 
-    /*! @return Bytes behind the present answer. */
+    /*! @return Number of bytes received but not parsed yet. */
     [[nodiscard]] std::size_t buffered() const noexcept { return m_buffer.size(); }
 
-    /*! @return True when any byte of the present answer was read. */
+    /*! @return True if any byte of the current response was parsed. */
     [[nodiscard]] bool hasBegun() const noexcept { return m_state != State::Idle; }
 
 private:
--- a/src/celeryramp/http/caller_connection.cpp
+++ b/src/celeryramp/http/caller_connection.cpp
@@ -87,15 +87,15 @@
     if (m_closed || !m_busy) {
         return;
     }
-    const bool ends = closes || m_closesWhenIdle || !m_keepsAlive;
-    m_output.push_back(serialize(answer, ends, m_isHead));
-    m_closesAfterWrite = m_closesAfterWrite || ends;
+    const bool isLast = closes || m_closesWhenIdle || !m_keepsAlive;
+    m_output.push_back(serialize(answer, isLast, m_isHead));
+    m_closesAfterWrite = m_closesAfterWrite || isLast;
     m_busy = false;
     m_lastChange = bootNow();
     write();
     if (!m_closesAfterWrite && m_reader.buffered() > 0) {
         m_reader.feed({}, m_events.requestBounds());
-        // Deep recursion over pipelined requests is avoided by a turn of the loop.
+        // Dispatching from the event loop avoids deep recursion over pipelined requests.
         boost::asio::post(m_socket.get_executor(), [self = shared_from_this()] {
             self->dispatch();
             self->read();
@@ -129,8 +129,9 @@
 
 void CallerConnection::shutdownAndClose()
 {
-    // Unread bytes would turn the close into a reset that may overtake the answer, so the end of
-    // the stream is sent first and the rest is left to the reader and the sweep.
+    // Closing a socket with unread bytes sends a reset, which can reach the caller before the
+    // response. Therefore only the sending side is shut down here; the connection is closed when
+    // reading fails or when `sweep` finds it idle for too long.
     boost::system::error_code ignored;
     m_socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
     if (ignored || m_reader.state() == RequestReader::State::Idle) {
@@ -156,20 +157,20 @@
 
 void CallerConnection::sweep(Millis headerTimeout, Millis idleTimeout, TimePoint now)
 {
-    const auto waited = millisBetween(m_lastChange, now);
+    const auto elapsed = millisBetween(m_lastChange, now);
     if (m_closed || m_busy) {
         return;
     }
     const bool isInHeader = m_reader.state() == RequestReader::State::Header && m_output.empty()
             && !m_closesAfterWrite;
-    if (isInHeader && waited > headerTimeout) {
+    if (isInHeader && elapsed > headerTimeout) {
         m_busy = true;
         m_events.onBadRequest(internal::kRequestTimeout);
         Answer refusal;
         refusal.status = internal::kRequestTimeout;
         answer(refusal, true);
-    } else if (waited > idleTimeout) {
-        // Idle, slow with its body, or not taking its answer.
+    } else if (elapsed > idleTimeout) {
+        // The caller is idle, sends its body too slowly or does not read its response.
         close();
     }
 }
--- a/src/celeryramp/http/caller_connection.h
+++ b/src/celeryramp/http/caller_connection.h
@@ -18,7 +18,10 @@
 class CallerConnection;
 using CallerConnectionPtr = std::shared_ptr<CallerConnection>;
 
-/*! @brief What a caller's connection tells its owner, always from the thread of its executor. */
+/*!
+ * @brief Interface through which a caller's connection notifies its owner. All functions are called
+ * on the thread of the connection's executor.
+ */
 class CallerEvents
 {
 public:
@@ -27,38 +30,55 @@
     CallerEvents &operator=(const CallerEvents &) = delete;
     virtual ~CallerEvents() = default;
 
-    /*! @brief A whole request was read. `answer` is owed unless the connection closes. */
+    /*!
+     * @brief Called for each complete request. The owner must call `CallerConnection::answer`
+     * unless the connection closes first.
+     */
     virtual void onRequest(const CallerConnectionPtr &connection, Request request) = 0;
-    /*! @brief Bytes came that are no acceptable request; they are answered with the status. */
+    /*!
+     * @brief Called when the connection rejects a request: it is malformed, exceeds the limits or
+     * its header arrives too slowly. @param status HTTP status of the response.
+     */
     virtual void onBadRequest(int status) = 0;
-    /*! @brief The connection is gone. A request without an answer is to be cancelled. */
+    /*! @brief Called once after the connection closed. The owner cancels the pending request. */
     virtual void onClosed(const CallerConnectionPtr &connection) = 0;
-    /*! @return Bounds in force. */
+    /*! @return Size limits currently in force for requests. */
     [[nodiscard]] virtual RequestBounds requestBounds() const = 0;
 };
 
-/*! @brief One connection of a caller; serves one request at a time and notices when it leaves. */
+/*!
+ * @brief An HTTP/1.1 connection accepted from a caller. It serves one request at a time and keeps
+ * reading meanwhile, so that it detects when the caller disconnects.
+ */
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
 public:
     CallerConnection(boost::asio::ip::tcp::socket socket, CallerEvents &events, TimePoint now);
 
-    /*! @brief Begins to read. */
+    /*! @brief Starts reading requests. */
     void start();
 
-    /*! @brief Answers the present request. @param closes The connection ends afterwards. */
+    /*!
+     * @brief Sends the response to the current request.
+     * @param closes Closes the connection once the response is sent.
+     */
     void answer(const Answer &answer, bool closes);
 
-    /*! @brief Ends the connection at once. */
+    /*! @brief Closes the connection immediately. */
     void close();
 
-    /*! @brief Closes when idle; otherwise the present answer is the last. */
+    /*! @brief Closes the connection after the next response. An idle connection stays open. */
     void closeWhenIdle() noexcept;
 
-    /*! @brief Ends connections that are idle or slow beyond the bounds. */
+    /*!
+     * @brief Enforces the timeouts; the owner calls it periodically. Nothing happens while a
+     * request waits for its response.
+     * @param headerTimeout Longest time to receive a header; a slower caller gets status 408.
+     * @param idleTimeout Longest time without progress in any other state.
+     */
     void sweep(Millis headerTimeout, Millis idleTimeout, TimePoint now);
 
-    /*! @return True while no request is read or under way. */
+    /*! @return True if no request is being received or served and no response is being sent. */
     [[nodiscard]] bool isIdle() const noexcept
     {
         return !m_busy && m_reader.state() == RequestReader::State::Idle && m_output.empty();
@@ -72,7 +92,8 @@
     void write();
     void shutdownAndClose();
 
-    /*! Bytes of further requests that may wait behind the present one. */
+    /*! Reading pauses when more than this many unparsed bytes of pipelined requests are buffered.
+     */
     static constexpr std::size_t kPipelineBytes = 64 * 1024;
 
     boost::asio::ip::tcp::socket m_socket;
@@ -80,9 +101,9 @@
     RequestReader m_reader;
     std::array<char, 4096> m_input{};
     std::deque<std::string> m_output;
-    TimePoint m_lastChange; /*!< Start of the present state: idle, or reading a header. */
+    TimePoint m_lastChange; /*!< Start of the current request, or last progress of a response. */
     bool m_isHead = false;
-    bool m_busy = false;
+    bool m_busy = false; /*!< A request was dispatched and has no response yet. */
     bool m_reading = false;
     bool m_writing = false;
     bool m_closesAfterWrite = false;
--- a/src/celeryramp/http/client_connection.cpp
+++ b/src/celeryramp/http/client_connection.cpp
@@ -11,16 +11,16 @@
 
 namespace internal {
 
-/*! @return The time in a `Keep-Alive: timeout=N` field, or zero. */
+/*! @return The timeout of a `Keep-Alive: timeout=N` header, or zero without one. */
 [[nodiscard]] Millis announcedTimeout(const Answer &answer)
 {
     constexpr std::string_view kTimeout = "timeout=";
     const auto value = findHeader(answer.headers, "Keep-Alive");
-    const auto place = value.find(kTimeout);
-    if (place == std::string_view::npos) {
+    const auto position = value.find(kTimeout);
+    if (position == std::string_view::npos) {
         return Millis{0};
     }
-    const auto text = value.substr(place + kTimeout.size());
+    const auto text = value.substr(position + kTimeout.size());
     long seconds = 0;
     std::from_chars(text.data(), text.data() + text.size(), seconds);
     return Millis{seconds * 1000};
@@ -85,7 +85,7 @@
     boost::asio::async_write(
             m_socket, boost::asio::buffer(m_output),
             [self = shared_from_this()](const boost::system::error_code &, std::size_t) {
-                // A failed write shows in the reader too, behind an answer that may wait there.
+                // A write error also ends the read, after any response that was already received.
                 self->m_writing = false;
             });
 }
@@ -104,7 +104,7 @@
                     return;
                 }
                 if (ec) {
-                    self->onEnd(ec);
+                    self->onReadError(ec);
                     return;
                 }
                 self->onBytes({self->m_input.data(), n});
@@ -114,7 +114,7 @@
 void ClientConnection::onBytes(std::string_view bytes)
 {
     if (!m_exchange) {
-        // An answer to no request: nothing that follows on this connection can be told apart.
+        // Without a pending request, later bytes can no longer be matched to their requests.
         close();
         return;
     }
@@ -136,7 +136,7 @@
     read();
 }
 
-void ClientConnection::onEnd(const boost::system::error_code &ec)
+void ClientConnection::onReadError(const boost::system::error_code &ec)
 {
     if (!m_exchange) {
         close();
@@ -159,9 +159,9 @@
     auto exchange = std::move(m_exchange);
     m_exchange.reset();
     m_freeSince = bootNow();
-    const bool isKept = end == ExchangeEnd::Answered && answer.keepsAlive
+    const bool isReusable = end == ExchangeEnd::Answered && answer.keepsAlive
             && m_reader.buffered() == 0 && !m_writing && !m_closed;
-    if (isKept) {
+    if (isReusable) {
         m_announcedIdle = internal::announcedTimeout(answer);
         read();
         m_released(shared_from_this());
--- a/src/celeryramp/http/client_connection.h
+++ b/src/celeryramp/http/client_connection.h
@@ -14,30 +14,36 @@
 
 namespace celeryramp::http {
 
-/*! @brief One kept connection to a server; one request at a time. */
+/*! @brief A persistent HTTP/1.1 connection to a server that carries one request at a time. */
 class ClientConnection : public std::enable_shared_from_this<ClientConnection>
 {
 public:
-    /*! Called when the connection is free for the next request, or gone. */
+    /*! Called when the connection becomes free for the next request or has closed. */
     using Released = std::function<void(const std::shared_ptr<ClientConnection> &)>;
 
     ClientConnection(boost::asio::io_context &context, Address address, Millis connectTimeout,
                      std::size_t bodyLimit, Released released);
 
-    /*! @brief Connects when needed and sends. Not while another request is under way. */
+    /*!
+     * @brief Sends a request and connects first if necessary. The connection must be free, see
+     * `isFree`. The result, including a failure to connect, is passed to `Exchange::done`.
+     */
     void send(Exchange exchange);
 
-    /*! @brief Ends the connection; a request under way is reported as cancelled. */
+    /*!
+     * @brief Closes the connection. A pending request ends as `ExchangeEnd::Cancelled`, or as
+     * `ExchangeEnd::NotSent` if none of it was sent.
+     */
     void cancel();
 
-    /*! @return True when a request may be sent. */
+    /*! @return True if a request can be sent. */
     [[nodiscard]] bool isFree() const noexcept { return !m_exchange && !m_closed; }
     [[nodiscard]] bool isClosed() const noexcept { return m_closed; }
 
-    /*! @return When it became free. */
+    /*! @return Time at which the connection last became free. */
     [[nodiscard]] TimePoint freeSince() const noexcept { return m_freeSince; }
 
-    /*! @return How long the server says it keeps an idle connection; zero when it does not. */
+    /*! @return Idle timeout that the server announced in `Keep-Alive`; zero without one. */
     [[nodiscard]] Millis announcedIdle() const noexcept { return m_announcedIdle; }
 
 private:
@@ -45,7 +51,7 @@
     void write();
     void read();
     void onBytes(std::string_view bytes);
-    void onEnd(const boost::system::error_code &ec);
+    void onReadError(const boost::system::error_code &ec);
     void finish(ExchangeEnd end, Answer answer);
     void close();
 
@@ -61,9 +67,9 @@
     TimePoint m_freeSince;
     Millis m_announcedIdle{0};
     bool m_connected = false;
-    bool m_sent = false; /*!< Bytes of the present request may have left. */
+    bool m_sent = false; /*!< Bytes of the current request may have been sent. */
     bool m_reading = false;
-    bool m_writing = false; /*!< A server that answers early may not have read all of it. */
+    bool m_writing = false; /*!< May still be set when an early response arrives. */
     bool m_closed = false;
 };
 
--- a/src/celeryramp/http/client_pool.cpp
+++ b/src/celeryramp/http/client_pool.cpp
@@ -6,12 +6,12 @@
 
 namespace internal {
 
-/*! Time before a server's announced close during which a connection is no longer used. */
+/*! Connections are no longer used this long before the idle timeout that the server announced. */
 constexpr Millis kIdleMargin{1000};
 
 } // namespace internal
 
-Millis ClientPool::limitOf(const ClientConnection &connection) const
+Millis ClientPool::idleLimitOf(const ClientConnection &connection) const
 {
     if (connection.announcedIdle().count() == 0) {
         return m_settings.idleLimit;
@@ -45,7 +45,7 @@
 {
     const auto idle = m_idle;
     for (const auto &connection : idle) {
-        if (millisBetween(connection->freeSince(), now) > limitOf(*connection)) {
+        if (millisBetween(connection->freeSince(), now) > idleLimitOf(*connection)) {
             connection->cancel();
         }
     }
--- a/src/celeryramp/http/client_pool.h
+++ b/src/celeryramp/http/client_pool.h
@@ -7,15 +7,15 @@
 
 namespace celeryramp::http {
 
-/*! @brief How a pool treats its connections. */
+/*! @brief Timeouts and limits for the connections of a pool. */
 struct PoolSettings
 {
     Millis connectTimeout{500};
-    Millis idleLimit{4000}; /*!< A connection idle for longer is not used again. */
-    std::size_t bodyLimit = 64 * 1024 * 1024;
+    Millis idleLimit{4000}; /*!< Longest idle time of a reused connection. */
+    std::size_t bodyLimit = 64 * 1024 * 1024; /*!< Largest accepted response body, in bytes. */
 };
 
-/*! @brief Kept connections to one server. */
+/*! @brief Pool of persistent connections to one server. */
 class ClientPool
 {
 public:
@@ -24,24 +24,24 @@
     { }
 
     /*!
-     * @brief Sends a request on a free connection or a new one.
-     * @param maxIdle A connection idle for longer is not taken; shorter for requests that must not
-     * be repeated, since a server may drop an idle connection unseen.
-     * @return The connection, to cancel by.
+     * @brief Sends a request on the most recently used free connection, or on a new one.
+     * @param maxIdle Longest idle time of a connection to reuse. A server can close an idle
+     * connection unnoticed, so requests that must not be repeated use a shorter time.
+     * @return The connection that carries the request, for cancelling it.
      */
     ClientConnectionPtr send(Exchange exchange, Millis maxIdle, TimePoint now);
 
-    /*! @brief Ends connections that are idle beyond the limit. */
+    /*! @brief Closes connections that exceed their idle limit. */
     void sweep(TimePoint now);
 
-    /*! @brief Ends all free connections. */
+    /*! @brief Closes all free connections. */
     void closeIdle();
 
     [[nodiscard]] std::size_t idle() const noexcept { return m_idle.size(); }
 
 private:
-    /*! @return Idle time after which this connection is not used again. */
-    [[nodiscard]] Millis limitOf(const ClientConnection &connection) const;
+    /*! @return Idle time after which the connection is closed. */
+    [[nodiscard]] Millis idleLimitOf(const ClientConnection &connection) const;
 
     boost::asio::io_context &m_context;
     Address m_address;
--- a/src/celeryramp/http/exchange.h
+++ b/src/celeryramp/http/exchange.h
@@ -8,25 +8,25 @@
 
 namespace celeryramp::http {
 
-/*! @brief How a request on a client connection ended. */
+/*! @brief Result of a request on a client connection. */
 enum class ExchangeEnd {
-    Answered, /*!< A whole answer to this request was read. */
-    NotSent, /*!< No byte of the request left: no connection, or it was cancelled before. */
-    Lost, /*!< The connection ended before the answer was whole; the request may have run. */
-    Malformed, /*!< What came is no answer; the request may have run. */
-    Cancelled /*!< Given up by the owner; the request may have run. */
+    Answered, /*!< A complete response to this request was received. */
+    NotSent, /*!< Nothing was sent: connecting failed or the request was cancelled before. */
+    Lost, /*!< The connection ended before a complete response; the server may have run it. */
+    Malformed, /*!< The response is invalid; the server may have run the request. */
+    Cancelled /*!< Cancelled after sending began; the server may have run the request. */
 };
 
-/*! @brief One request to be sent and what is needed to recognise its answer. */
+/*! @brief A request to send, with the handlers for its response. */
 struct Exchange
 {
     using Done = std::function<void(ExchangeEnd, Answer)>;
 
-    std::string wire; /*!< The request in wire form. */
-    bool isHead = false;
-    /*! Tells whether an answer belongs to this request; others are skipped. May be empty. */
+    std::string wire; /*!< The serialized request. */
+    bool isHead = false; /*!< HEAD request: its response has no body. */
+    /*! Returns whether a response belongs to this request. Others are skipped. May be empty. */
     std::function<bool(const Answer &)> isOurs;
-    Done done; /*!< Called once. */
+    Done done; /*!< Called exactly once, when the exchange ends. */
 };
 
 } // namespace celeryramp::http
--- a/src/celeryramp/http/fwd.h
+++ b/src/celeryramp/http/fwd.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the http module: strict readers of HTTP/1.1 and the event-driven
- *  connections of callers, of the own backend server and of the platform.
+ *  Forward declarations of the http module: strict HTTP/1.1 parsers, and asynchronous connections
+ *  from callers, to the node's backend server and to the platform.
  */
 
 namespace celeryramp::http {
--- a/src/celeryramp/http/http_error.h
+++ b/src/celeryramp/http/http_error.h
@@ -4,11 +4,11 @@
 
 namespace celeryramp::http {
 
-/*! @brief Why a socket could not be set up. */
+/*! @brief Error from opening a listening socket. */
 struct HttpError
 {
-    std::string place;
-    std::string reason;
+    std::string place; /*!< Address as host and port. */
+    std::string reason; /*!< Message of the system error. */
 };
 
 } // namespace celeryramp::http
--- a/src/celeryramp/http/listener.cpp
+++ b/src/celeryramp/http/listener.cpp
@@ -6,7 +6,7 @@
 
 namespace internal {
 
-/*! Connections that may wait to be accepted; callers reconnect all at once after a fault. */
+/*! Length of the accept queue. Many callers reconnect at the same time after a failure. */
 constexpr int kBacklog = 1024;
 
 } // namespace internal
--- a/src/celeryramp/http/listener.h
+++ b/src/celeryramp/http/listener.h
@@ -11,21 +11,24 @@
 
 namespace celeryramp::http {
 
-/*! @brief Accepts connections on one address for as long as it lives. */
+/*! @brief Accepts TCP connections on one address until it is closed or destroyed. */
 class Listener
 {
 public:
     using Accepted = std::function<void(boost::asio::ip::tcp::socket)>;
 
-    /*! @param accepted Gets each new connection. */
+    /*! @param accepted Called with the socket of each new connection. */
     Listener(boost::asio::io_context &context, Accepted accepted)
         : m_acceptor{context}, m_accepted{std::move(accepted)}
     { }
 
-    /*! @return Nothing, or why the address cannot be listened on. */
+    /*!
+     * @brief Starts to listen and to accept connections.
+     * @return An error if the address is invalid or cannot be listened on.
+     */
     [[nodiscard]] Result<void, HttpError> open(const Address &address);
 
-    /*! @brief Accepts nothing more. */
+    /*! @brief Stops accepting connections. */
     void close();
 
 private:
--- a/src/celeryramp/http/message.cpp
+++ b/src/celeryramp/http/message.cpp
@@ -12,6 +12,7 @@
 
 namespace internal {
 
+/*! Headers that apply to one connection only or describe the framing of the body. */
 constexpr std::array<std::string_view, 10> kHopByHop{"Connection",
                                                      "Keep-Alive",
                                                      "Proxy-Connection",
@@ -23,10 +24,10 @@
                                                      "Proxy-Authorization",
                                                      "Content-Length"};
 
-/*! Methods whose requests carry a length also when the body is empty. */
+/*! Methods whose requests get a `Content-Length` even if the body is empty. */
 constexpr std::array<std::string_view, 3> kBodyMethods{"POST", "PUT", "PATCH"};
 
-[[nodiscard]] char lower(char c) noexcept
+[[nodiscard]] char toLower(char c) noexcept
 {
     return static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
 }
@@ -43,7 +44,7 @@
 bool isSameName(std::string_view a, std::string_view b) noexcept
 {
     return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
-               return internal::lower(x) == internal::lower(y);
+               return internal::toLower(x) == internal::toLower(y);
            });
 }
 
@@ -73,7 +74,7 @@
 
 void eraseHopByHop(Headers &headers)
 {
-    std::vector<std::string> named;
+    std::vector<std::string> connectionOptions;
     for (const auto &header : headers) {
         if (!isSameName(header.name, "Connection")) {
             continue;
@@ -90,14 +91,14 @@
                 token.remove_suffix(1);
             }
             if (!token.empty()) {
-                named.emplace_back(token);
+                connectionOptions.emplace_back(token);
             }
         }
     }
     for (const auto name : internal::kHopByHop) {
         eraseHeaders(headers, name);
     }
-    for (const auto &name : named) {
+    for (const auto &name : connectionOptions) {
         eraseHeaders(headers, name);
     }
 }
--- a/src/celeryramp/http/message.h
+++ b/src/celeryramp/http/message.h
@@ -6,7 +6,7 @@
 
 namespace celeryramp::http {
 
-/*! @brief One header field as it was read. */
+/*! @brief A header field, with the name in its original case. */
 struct Header
 {
     std::string name;
@@ -15,51 +15,58 @@
 
 using Headers = std::vector<Header>;
 
-/*! @brief A whole request. */
+/*! @brief A complete HTTP request. */
 struct Request
 {
     std::string method;
-    std::string target; /*!< Path and query, unchanged. */
+    std::string target; /*!< Path and query as received. */
     Headers headers;
     std::string body;
     bool keepsAlive = true;
 };
 
-/*! @brief A whole answer. */
+/*! @brief A complete HTTP response. */
 struct Answer
 {
     int status = 0;
-    std::string reason;
+    std::string reason; /*!< Reason phrase; if empty, the standard one is sent. */
     Headers headers;
     std::string body;
     bool keepsAlive = true;
 };
 
-/*! @return True when the names are equal but for the case of letters. */
+/*! @return True if the texts are equal apart from letter case. */
 [[nodiscard]] bool isSameName(std::string_view a, std::string_view b) noexcept;
 
-/*! @return The first value of this name, or an empty text. */
+/*! @return Value of the first header with this name, or an empty string. */
 [[nodiscard]] std::string_view findHeader(const Headers &headers, std::string_view name) noexcept;
 
-/*! @return How often the name occurs. */
+/*! @return Number of headers with this name. */
 [[nodiscard]] int countHeaders(const Headers &headers, std::string_view name) noexcept;
 
-/*! @brief Drops all fields of this name. */
+/*! @brief Removes all headers with this name. */
 void eraseHeaders(Headers &headers, std::string_view name);
 
 /*!
- * @brief Drops the fields that concern one connection only, those named by `Connection`
- * included, and the framing of the body.
+ * @brief Removes hop-by-hop headers, including those listed in `Connection`, and the headers that
+ * frame the body. `serialize` adds new framing.
  */
 void eraseHopByHop(Headers &headers);
 
-/*! @return The request in wire form, its body framed by length. */
+/*!
+ * @return The request as HTTP/1.1 text. A body, and any POST, PUT or PATCH request, gets a
+ * `Content-Length`.
+ */
 [[nodiscard]] std::string serialize(const Request &request);
 
-/*! @return The answer in wire form, framed by length. @param isBodyOmitted For HEAD requests. */
+/*!
+ * @return The response as HTTP/1.1 text with a `Content-Length`, except for status 204 and 304.
+ * @param closes Adds `Connection: close`.
+ * @param isBodyOmitted Leaves out the body, as for HEAD requests.
+ */
 [[nodiscard]] std::string serialize(const Answer &answer, bool closes, bool isBodyOmitted);
 
-/*! @return The usual reason phrase of a status. */
+/*! @return The standard reason phrase of a status. */
 [[nodiscard]] std::string_view reasonPhrase(int status) noexcept;
 
 } // namespace celeryramp::http
--- a/src/celeryramp/http/request_reader.cpp
+++ b/src/celeryramp/http/request_reader.cpp
@@ -26,7 +26,10 @@
 
 namespace internal {
 
-/*! @return 0, or the status for a header that is not acceptable. */
+/*!
+ * @return 0 if the header is acceptable, otherwise the HTTP status of the rejection. The target
+ * must be a path, `Host` must occur exactly once and the framing of the body must be unambiguous.
+ */
 [[nodiscard]] int checkHeader(const beast::request<beast::string_body> &message)
 {
     if (message.target().empty() || message.target().front() != '/') {
--- a/src/celeryramp/http/request_reader.h
+++ b/src/celeryramp/http/request_reader.h
@@ -9,7 +9,7 @@
 
 namespace celeryramp::http {
 
-/*! @brief Bounds on one request. */
+/*! @brief Size limits for one request, in bytes. */
 struct RequestBounds
 {
     std::size_t headerBytes = 16 * 1024;
@@ -17,18 +17,18 @@
 };
 
 /*!
- * @brief Reads requests from a stream of bytes, strictly: what could be understood in two ways is
- * an error.
+ * @brief Parses HTTP/1.1 requests incrementally from a byte stream. The parser is strict: ambiguous
+ * requests are errors.
  */
 class RequestReader
 {
 public:
     enum class State {
-        Idle, /*!< No byte of a request yet. */
-        Header, /*!< Within the header. */
-        Body, /*!< Within the body. */
-        Done, /*!< A whole request can be taken. */
-        Bad /*!< Not to be read any further. */
+        Idle, /*!< No byte of the next request was parsed. */
+        Header, /*!< The header is incomplete. */
+        Body, /*!< The header is complete, the body is not. */
+        Done, /*!< A complete request is available. */
+        Bad /*!< The request is invalid; parsing has stopped. */
     };
 
     RequestReader();
@@ -36,21 +36,25 @@
     RequestReader(const RequestReader &) = delete;
     RequestReader &operator=(const RequestReader &) = delete;
 
-    /*! @brief Appends bytes and reads on. Bytes after a whole request wait for the next. */
+    /*!
+     * @brief Appends bytes and parses them up to the end of the current request. Bytes that follow
+     * stay buffered for the next request. Empty `bytes` continue with the buffered ones.
+     */
     State feed(std::string_view bytes, const RequestBounds &bounds);
 
-    /*! @return The request; the reader goes on with bytes that follow at the next `feed`. */
+    /*! @return The complete request; requires `State::Done`. The next `feed` parses the next one.
+     */
     [[nodiscard]] Request take();
 
     [[nodiscard]] State state() const noexcept { return m_state; }
 
-    /*! @return Status to answer a bad request with. */
+    /*! @return HTTP status for the response to an invalid request. */
     [[nodiscard]] int errorStatus() const noexcept { return m_errorStatus; }
 
-    /*! @return True when the caller waits for leave to send its body; reported once. */
+    /*! @return True, once per request, if the caller waits for `100 Continue` to send its body. */
     [[nodiscard]] bool takeContinue() noexcept;
 
-    /*! @return Bytes that wait behind the present request. */
+    /*! @return Number of bytes received but not parsed yet. */
     [[nodiscard]] std::size_t buffered() const noexcept { return m_buffer.size(); }
 
 private:
--- a/src/celeryramp/http/socket_options.h
+++ b/src/celeryramp/http/socket_options.h
@@ -6,14 +6,17 @@
 
 namespace celeryramp::http {
 
-/*! Time after which sent but unacknowledged bytes end a connection; also for silent peers. */
+/*! Time after which the kernel closes a connection with unacknowledged bytes or unanswered
+ *  probes. */
 inline constexpr Millis kUserTimeout{3000};
-/*! Idle time after which the kernel probes a connection, and the pause between probes, in s. */
+/*! Idle time before the first keep-alive probe and interval between probes, in seconds. */
 inline constexpr int kKeepAliveSeconds = 2;
-/*! Probes without an answer that end a connection. */
+/*! Number of unanswered probes after which the kernel closes a connection. */
 inline constexpr int kKeepAliveProbes = 3;
 
-/*! @brief Sets what all our connections share: no delay, probes, a bound on unacknowledged bytes.
+/*!
+ * @brief Sets the options that all connections share: TCP_NODELAY, keep-alive probes and
+ * TCP_USER_TIMEOUT. An option that cannot be set is logged and skipped.
  */
 void applySocketOptions(boost::asio::ip::tcp::socket &socket);
 
--- a/test/http/answer_reader.cpp
+++ b/test/http/answer_reader.cpp
@@ -5,53 +5,53 @@
 using namespace celeryramp::http;
 using State = AnswerReader::State;
 
-TEST_CASE("Answers are whole only with all of their bytes")
+TEST_CASE("A response is complete only when all of its bytes have arrived")
 {
     AnswerReader reader{1000};
     reader.expect(false);
-    SECTION("by length")
+    SECTION("framed by Content-Length")
     {
         REQUIRE(reader.feed("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab") == State::Partial);
-        SECTION("cut off")
+        SECTION("truncated")
         {
             REQUIRE(reader.finish() == State::Bad);
         }
-        SECTION("whole")
+        SECTION("complete")
         {
             REQUIRE(reader.feed("c") == State::Done);
         }
     }
-    SECTION("in chunks")
+    SECTION("chunked")
     {
         REQUIRE(reader.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
                 == State::Partial);
-        SECTION("cut off")
+        SECTION("truncated")
         {
             REQUIRE(reader.finish() == State::Bad);
         }
-        SECTION("whole")
+        SECTION("complete")
         {
             REQUIRE(reader.feed("0\r\n\r\n") == State::Done);
         }
     }
-    SECTION("by the end of the connection")
+    SECTION("framed by the end of the connection")
     {
         REQUIRE(reader.feed("HTTP/1.1 200 OK\r\n\r\nabc") == State::Partial);
         REQUIRE(reader.finish() == State::Done);
         REQUIRE(reader.take().body == "abc");
     }
-    SECTION("cut off in the header")
+    SECTION("truncated in the header")
     {
         reader.feed("HTTP/1.1 200 OK\r\nContent-Le");
         REQUIRE(reader.finish() == State::Bad);
     }
-    SECTION("bytes that are no answer")
+    SECTION("bytes that are not HTTP")
     {
         REQUIRE(reader.feed("\x01\x02garbage\r\n") == State::Bad);
     }
 }
 
-TEST_CASE("Bytes behind an answer are kept apart from it")
+TEST_CASE("Bytes after a response are not parsed as part of it")
 {
     AnswerReader reader{1000};
     reader.expect(false);
@@ -61,7 +61,7 @@
     REQUIRE(reader.buffered() > 0);
 }
 
-TEST_CASE("Interim answers and answers to HEAD end where they should")
+TEST_CASE("Interim responses are skipped and responses to HEAD have no body")
 {
     AnswerReader reader{1000};
     reader.expect(true);
--- a/test/http/request_reader.cpp
+++ b/test/http/request_reader.cpp
@@ -13,16 +13,16 @@
 {
     auto state = reader.state();
     while (!text.empty()) {
-        const auto part = text.substr(0, step);
-        text.remove_prefix(part.size());
-        state = reader.feed(part, kBounds);
+        const auto chunk = text.substr(0, step);
+        text.remove_prefix(chunk.size());
+        state = reader.feed(chunk, kBounds);
     }
     return state;
 }
 
 } // namespace
 
-TEST_CASE("Requests are read whole, however they are cut")
+TEST_CASE("Requests are parsed correctly regardless of how their bytes are split")
 {
     const auto step = GENERATE(std::size_t{1}, std::size_t{7}, std::size_t{1000});
     RequestReader reader;
@@ -39,7 +39,7 @@
     REQUIRE(reader.state() == State::Idle);
 }
 
-TEST_CASE("A request behind another waits until it is asked for")
+TEST_CASE("A pipelined request is parsed by the feed after the previous request is taken")
 {
     RequestReader reader;
     feed(reader, "GET /1/ HTTP/1.1\r\nHost: x\r\n\r\nGET /2/ HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -50,7 +50,7 @@
     REQUIRE(reader.buffered() == 0);
 }
 
-TEST_CASE("What could be understood in two ways is refused")
+TEST_CASE("Ambiguous or malformed requests are rejected")
 {
     const std::string_view text = GENERATE(
             as<std::string_view>{}, "GET / HTTP/1.1\r\n\r\n",
@@ -75,7 +75,7 @@
     REQUIRE(reader.errorStatus() == 400);
 }
 
-TEST_CASE("Headers and bodies beyond the bounds are refused with their status")
+TEST_CASE("Headers and bodies that exceed their limits are rejected with status 431 or 413")
 {
     RequestReader reader;
     SECTION("header")
@@ -83,17 +83,17 @@
         feed(reader, "GET / HTTP/1.1\r\nHost: x\r\nA: " + std::string(600, 'a') + "\r\n\r\n");
         REQUIRE(reader.errorStatus() == 431);
     }
-    SECTION("header without an end")
+    SECTION("unterminated header")
     {
         feed(reader, "GET / HTTP/1.1\r\nHost: x\r\nA: " + std::string(600, 'a'), 50);
         REQUIRE(reader.errorStatus() == 431);
     }
-    SECTION("length")
+    SECTION("body with Content-Length")
     {
         feed(reader, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 65\r\n\r\n");
         REQUIRE(reader.errorStatus() == 413);
     }
-    SECTION("chunks")
+    SECTION("chunked body")
     {
         feed(reader,
              "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n"
@@ -103,7 +103,7 @@
     REQUIRE(reader.state() == State::Bad);
 }
 
-TEST_CASE("Fields of one connection are not passed on, all others are")
+TEST_CASE("Only hop-by-hop headers and body framing are removed")
 {
     Headers headers{{"Connection", "close, X-Hop"},
                     {"X-Hop", "1"},
