--- a/test/platform/header_dialect.cpp
+++ b/test/platform/header_dialect.cpp
@@ -5,7 +5,7 @@
 using namespace celeryramp;
 using namespace celeryramp::platform;
 
-TEST_CASE("What callers say is read: nonsense is as if not said")
+TEST_CASE("Caller headers are parsed and invalid values are ignored")
 {
     const HeaderDialect dialect;
     const auto facts = dialect.readCaller(
@@ -19,7 +19,7 @@
     REQUIRE_FALSE(none.key);
 }
 
-TEST_CASE("Servers hear of account, deadline and sender from the mesh alone, and never the key")
+TEST_CASE("Forged mesh headers are replaced and the API key is not forwarded to the server")
 {
     const HeaderDialect dialect;
     proxy::CallFrame call;
@@ -48,7 +48,8 @@
     REQUIRE(http::countHeaders(dialect.toServer(call, Millis{700}).headers, "Tenant") == 0);
 }
 
-TEST_CASE("Answers say whether they ran, whose they are and to what")
+TEST_CASE(
+        "Response headers tell whether the request ran and which server and request they belong to")
 {
     const HeaderDialect dialect;
     http::Answer answer;
@@ -66,7 +67,7 @@
     REQUIRE(dialect.readAnswer(answer).coldFor == Millis{1500});
 }
 
-TEST_CASE("Own answers carry the request's id and when to come again, in seconds")
+TEST_CASE("Responses of the mesh carry the request id and Retry-After in seconds")
 {
     const HeaderDialect dialect;
     const auto answer = dialect.ownAnswer({503, proxy::Reason::Busy, "r1", Millis{250}});
--- a/test/platform/store_item_decoder.cpp
+++ b/test/platform/store_item_decoder.cpp
@@ -22,7 +22,7 @@
           R"({"Name":"orders"}],"Limits":{"MaxHeaderBytes":16384,"IdleTimeout":"15000ms"},)"
           R"("Tenants":[{"Name":"mill","ApiKeys":["k"],"Priority":1,"RatePerS":78,"Burst":79}]})";
 
-std::string with(std::string text, const std::string &from, const std::string &to)
+std::string replaced(std::string text, const std::string &from, const std::string &to)
 {
     return text.replace(text.find(from), from.size(), to);
 }
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("Entries of servers are read into fields that say what they hold")
+TEST_CASE("Server entries are decoded field by field")
 {
     const auto item = decode("servers/i-1", kServer);
     REQUIRE(item);
@@ -47,19 +47,19 @@
     REQUIRE_FALSE(server.isDraining);
 }
 
-TEST_CASE("Forged and damaged entries name no server")
+TEST_CASE("Forged and damaged server entries are errors")
 {
-    const auto value
-            = GENERATE(as<std::string>{}, "", "{", "null", "[]", "\xff\xfe",
-                       with(kServer, "ready", "asleep"), with(kServer, "12", "\"12\""),
-                       with(kServer, "12", "0"), with(kServer, "10.128.0.9", "here"),
-                       with(kServer, "Sequence", "Sequenc"), with(kServer, "2.5s", "2.5"),
-                       with(kServer, "\"stock\"", "7"), with(kServer, "1783980354000", "\"soon\""));
+    const auto value = GENERATE(
+            as<std::string>{}, "", "{", "null", "[]", "\xff\xfe",
+            replaced(kServer, "ready", "asleep"), replaced(kServer, "12", "\"12\""),
+            replaced(kServer, "12", "0"), replaced(kServer, "10.128.0.9", "here"),
+            replaced(kServer, "Sequence", "Sequenc"), replaced(kServer, "2.5s", "2.5"),
+            replaced(kServer, "\"stock\"", "7"), replaced(kServer, "1783980354000", "\"soon\""));
     CAPTURE(value);
     REQUIRE_FALSE(decode("servers/i-1", value));
 }
 
-TEST_CASE("Configurations are read whole")
+TEST_CASE("Configurations are decoded completely")
 {
     const auto item = decode("op/config", kConfiguration);
     REQUIRE(item);
@@ -75,12 +75,13 @@
 
 TEST_CASE("Damaged configurations are errors")
 {
-    const auto value = GENERATE(as<std::string>{}, with(kConfiguration, "idempotent", "perhaps"),
-                                with(kConfiguration, "1200ms", "1200"),
-                                with(kConfiguration, "\"Timeout\"", "\"Timeou\""),
-                                with(kConfiguration, "\"MaxAttempts\"", "\"MaxAttempt\""),
-                                with(kConfiguration, "\"Weight\":90", "\"Weight\":\"90\""),
-                                kConfiguration.substr(0, kConfiguration.size() / 2));
+    const auto value
+            = GENERATE(as<std::string>{}, replaced(kConfiguration, "idempotent", "perhaps"),
+                       replaced(kConfiguration, "1200ms", "1200"),
+                       replaced(kConfiguration, "\"Timeout\"", "\"Timeou\""),
+                       replaced(kConfiguration, "\"MaxAttempts\"", "\"MaxAttempt\""),
+                       replaced(kConfiguration, "\"Weight\":90", "\"Weight\":\"90\""),
+                       kConfiguration.substr(0, kConfiguration.size() / 2));
     REQUIRE_FALSE(decode("op/config", value));
 }
 
@@ -92,7 +93,7 @@
     });
 }
 
-TEST_CASE("Evacuations and foreign items are told apart")
+TEST_CASE("Evacuated zones and unknown items are distinguished")
 {
     REQUIRE(std::get<EvacuatedZone>(decode("op/evacuate/north", "{}").value()).zone == "north");
     REQUIRE(std::holds_alternative<UnknownItem>(decode("my/leader", "x").value()));
