--- a/src/celeryramp/directory/backend_server.h
+++ b/src/celeryramp/directory/backend_server.h
@@ -8,20 +8,20 @@
 
 namespace celeryramp::directory {
 
-/*! @brief One start of a server, as the server last published it. */
+/*! @brief State of one incarnation of a backend server, as the server last published it. */
 struct BackendServer
 {
     std::string id;
     std::string service;
     std::string zone;
-    Address address; /*!< Where the server listens; its node shares the host. */
-    int slots = 1; /*!< Requests it runs at a time. */
+    Address address; /*!< Where the server listens; its node runs on the same host. */
+    int slots = 1; /*!< Number of requests that the server runs concurrently. */
     bool isDraining = false;
-    Millis coldRemaining{0}; /*!< Of the moment at which it was published. */
-    std::uint64_t startedMillis = 0; /*!< Unix time of its start; tells incarnations apart. */
-    TimePoint learnedAt; /*!< When this node learned of this state. */
+    Millis coldRemaining{0}; /*!< Remaining cold time when this state was published. */
+    std::uint64_t startedMillis = 0; /*!< Unix time of the start; identifies the incarnation. */
+    TimePoint learnedAt; /*!< When this node received this state. */
 
-    /*! @return True when both describe the same start of the same server. */
+    /*! @return True if both describe the same incarnation of the same server. */
     [[nodiscard]] bool isSameIncarnation(const BackendServer &other) const noexcept
     {
         return id == other.id && startedMillis == other.startedMillis;
--- a/src/celeryramp/directory/configuration.h
+++ b/src/celeryramp/directory/configuration.h
@@ -11,22 +11,22 @@
 
 namespace celeryramp::directory {
 
-/*! @brief Bounds on what callers send. */
+/*! @brief Size and time limits for the requests of callers. */
 struct InputLimits
 {
     std::size_t headerBytes = 16 * 1024;
     std::size_t bodyBytes = 1024 * 1024;
     Millis headerTimeout{3000}; /*!< From the first byte of a request to the end of its header. */
-    Millis idleTimeout{15'000}; /*!< A kept connection without a request is closed after this. */
+    Millis idleTimeout{15'000}; /*!< An idle keep-alive connection is closed after this time. */
 };
 
-/*! @brief One published version, in full. */
+/*! @brief One complete published version of the configuration. */
 struct Configuration
 {
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<Service> services;
-    std::vector<ClientAccount> accounts; /*!< Empty: no route needs a key. */
+    std::vector<ClientAccount> accounts; /*!< If empty, no route requires an API key. */
     InputLimits limits;
 };
 
--- a/src/celeryramp/directory/directory_error.h
+++ b/src/celeryramp/directory/directory_error.h
@@ -4,10 +4,10 @@
 
 namespace celeryramp::directory {
 
-/*! @brief Why something published is not usable; nothing changes by it. */
+/*! @brief Why a published item is rejected; the state in use stays unchanged. */
 struct DirectoryError
 {
-    std::string place; /*!< Which entity or field. */
+    std::string place; /*!< Name of the invalid entity or field. */
     std::string reason;
 };
 
--- a/src/celeryramp/directory/fwd.h
+++ b/src/celeryramp/directory/fwd.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the directory module: published configuration and servers, and the
- *  replica of them that each node keeps.
+ *  Forward declarations of the directory module: the published configuration and servers, and the
+ *  replica of them on each node.
  */
 
 namespace celeryramp::directory {
--- a/src/celeryramp/directory/item_decoder.h
+++ b/src/celeryramp/directory/item_decoder.h
@@ -11,21 +11,21 @@
 
 namespace celeryramp::directory {
 
-/*! @brief A zone to whose servers nothing may be sent. */
+/*! @brief An availability zone whose servers must not receive requests. */
 struct EvacuatedZone
 {
     std::string zone;
 };
 
-/*! @brief An item that says nothing this program knows. */
+/*! @brief An item of a kind that this program does not use. */
 struct UnknownItem
 {
 };
 
-/*! @brief What one published item says. */
+/*! @brief Decoded content of one published item. */
 using DecodedItem = std::variant<UnknownItem, Configuration, BackendServer, EvacuatedZone>;
 
-/*! @brief Turns the items of a platform into types of the product. */
+/*! @brief Decodes the items that a platform publishes. */
 class ItemDecoder
 {
 public:
@@ -34,7 +34,7 @@
     ItemDecoder &operator=(const ItemDecoder &) = delete;
     virtual ~ItemDecoder() = default;
 
-    /*! @return What the item says, or why it cannot be read. */
+    /*! @return The decoded item, or why it cannot be decoded. */
     [[nodiscard]] virtual Result<DecodedItem, DirectoryError>
     decode(std::string_view key, std::string_view value) const = 0;
 };
--- a/src/celeryramp/directory/item_sink.h
+++ b/src/celeryramp/directory/item_sink.h
@@ -10,7 +10,7 @@
 
 namespace celeryramp::directory {
 
-/*! @brief Takes in what a reader of the platform reads. */
+/*! @brief Receives the items that an `ItemSource` reads from the platform. */
 class ItemSink
 {
 public:
@@ -19,26 +19,35 @@
     ItemSink &operator=(const ItemSink &) = delete;
     virtual ~ItemSink() = default;
 
-    /*! @brief All items, as listed. @param askedAt When the first page was asked for. */
+    /*!
+     * @brief Receives a complete list of items.
+     * @param revision Of the platform when it produced the first page.
+     * @param requestedAt When the first page was requested.
+     */
     virtual void onList(const std::vector<ItemChange> &items, std::int64_t revision,
-                        TimePoint askedAt)
+                        TimePoint requestedAt)
             = 0;
-    /*! @brief Changes that follow the revision last taken in. @param askedAt When asked for. */
+    /*!
+     * @brief Receives the changes since `heldRevision()`.
+     * @param revision Up to which the changes are complete.
+     * @param requestedAt When the changes were requested.
+     */
     virtual void onChanges(const std::vector<ItemChange> &changes, std::int64_t revision,
-                           TimePoint askedAt)
+                           TimePoint requestedAt)
             = 0;
-    /*! @brief The source gave no usable answer. */
+    /*! @brief Reports that the platform sent no usable response. */
     virtual void onSourceFailed(const std::string &reason) = 0;
-    /*! @return Revision to go on from; 0 when all must be listed. */
+    /*! @return Revision after which to read changes; 0 if a complete list is needed. */
     [[nodiscard]] virtual std::int64_t heldRevision() const = 0;
     /*!
-     * @return Pause after changes, so that those that follow closely are read together; nothing
-     * while others read for this node, until `ItemSource::resume`.
+     * @return Pause after a response with changes, so that closely following changes are read in
+     * one batch. Empty while other nodes read for this node: reading then stops until
+     * `ItemSource::resume` is called.
      */
     [[nodiscard]] virtual std::optional<Millis> readPause() const = 0;
 };
 
-/*! @brief Reads the platform for as long as it lives. */
+/*! @brief Reads items from the platform and passes them to an `ItemSink`. */
 class ItemSource
 {
 public:
@@ -47,11 +56,11 @@
     ItemSource &operator=(const ItemSource &) = delete;
     virtual ~ItemSource() = default;
 
-    /*! @brief Begins to read. */
+    /*! @brief Starts reading. @param sink Receives the items. */
     virtual void start(ItemSink &sink) = 0;
-    /*! @brief The node should read again, see `ItemSink::readPause`. */
+    /*! @brief Continues reading after `ItemSink::readPause` returned no value. */
     virtual void resume() = 0;
-    /*! @brief Ends all reading. */
+    /*! @brief Stops reading for good. */
     virtual void stop() = 0;
 };
 
--- a/src/celeryramp/directory/reader_rota.h
+++ b/src/celeryramp/directory/reader_rota.h
@@ -7,21 +7,22 @@
 
 namespace celeryramp::directory {
 
-/*! @brief Where a node stands among those of its zone that could read the platform. */
+/*! @brief Rank of a node among the candidate readers of its zone, and the state of its replica. */
 struct ReaderPosition
 {
-    std::size_t place = 0; /*!< Able nodes of the zone that come before it. */
-    Millis age{0}; /*!< Of its own knowledge. */
-    bool isBehind = false; /*!< It holds nothing yet, or news were announced that it lacks. */
+    std::size_t place = 0; /*!< Number of candidates in the zone that precede this node. */
+    Millis age{0}; /*!< Age of the node's replica. */
+    bool isBehind = false; /*!< The replica is empty or misses an announced revision. */
 };
 
 /*!
  * @brief Decides whether a node reads the platform.
  *
- * One node of a zone reads for all. The others see its news or its confirmations several times a
- * second; when their knowledge grows old they take over one after the other, so that neither a
- * reader that fell silent nor a second one that is cut off as well holds up the zone for long.
- * @return Pause after changes, or nothing when the node does not read.
+ * One node of a zone reads on behalf of all. The others receive its updates or confirmations
+ * several times a second. When their replicas grow too old, they take over one after the other, in
+ * the order of their ranks. Thus neither a failed reader nor a second one that is disconnected as
+ * well delays the zone for long.
+ * @return Pause after a response with changes, or empty if the node does not read.
  */
 [[nodiscard]] std::optional<Millis> readPause(const ReaderPosition &position) noexcept;
 
--- a/src/celeryramp/directory/replica.cpp
+++ b/src/celeryramp/directory/replica.cpp
@@ -9,11 +9,11 @@
 namespace celeryramp::directory {
 
 std::vector<BeliefChange> Replica::applyList(const std::vector<ItemChange> &items,
-                                             std::int64_t revision, TimePoint askedAt, bool wasAway,
-                                             TimePoint now)
+                                             std::int64_t revision, TimePoint requestedAt,
+                                             bool wasSourceUnavailable, TimePoint now)
 {
     std::vector<BeliefChange> beliefs;
-    if (m_complete && revision < m_revision) {
+    if (m_isComplete && revision < m_revision) {
         beliefs.push_back({"list-ignored", std::to_string(revision),
                            "older than " + std::to_string(m_revision)});
         return beliefs;
@@ -21,7 +21,7 @@
     std::set<std::string> listed;
     for (const auto &item : items) {
         listed.insert(item.key);
-        applyItem(item, wasAway, now, beliefs);
+        applyItem(item, wasSourceUnavailable, now, beliefs);
     }
     std::vector<std::string> missing;
     for (const auto &[key, held] : m_items) {
@@ -30,18 +30,18 @@
         }
     }
     for (const auto &key : missing) {
-        remove(key, wasAway, now, beliefs);
+        removeItem(key, wasSourceUnavailable, now, beliefs);
     }
     m_revision = revision;
-    m_complete = true;
-    m_freshAsOf = std::max(m_freshAsOf, askedAt);
-    rebuild();
+    m_isComplete = true;
+    m_freshAsOf = std::max(m_freshAsOf, requestedAt);
+    rebuildView();
     return beliefs;
 }
 
 std::vector<BeliefChange> Replica::applyChanges(const std::vector<ItemChange> &changes,
-                                                std::int64_t revision, TimePoint askedAt,
-                                                bool wasAway, TimePoint now)
+                                                std::int64_t revision, TimePoint requestedAt,
+                                                bool wasSourceUnavailable, TimePoint now)
 {
     std::vector<BeliefChange> beliefs;
     if (revision < m_revision) {
@@ -53,36 +53,36 @@
             continue;
         }
         if (change.isRemoved) {
-            remove(change.key, wasAway, now, beliefs);
+            removeItem(change.key, wasSourceUnavailable, now, beliefs);
         } else {
-            applyItem(change, wasAway, now, beliefs);
+            applyItem(change, wasSourceUnavailable, now, beliefs);
         }
     }
     m_revision = revision;
-    m_freshAsOf = std::max(m_freshAsOf, askedAt);
-    rebuild();
+    m_freshAsOf = std::max(m_freshAsOf, requestedAt);
+    rebuildView();
     return beliefs;
 }
 
 std::vector<BeliefChange> Replica::expire(TimePoint now)
 {
     std::vector<BeliefChange> beliefs;
-    for (auto it = m_lapsed.begin(); it != m_lapsed.end();) {
+    for (auto it = m_lapsedUntil.begin(); it != m_lapsedUntil.end();) {
         if (now < it->second) {
             ++it;
             continue;
         }
         const auto key = it->first;
-        it = m_lapsed.erase(it);
-        forget(key, beliefs);
+        it = m_lapsedUntil.erase(it);
+        removeDecoded(key, beliefs);
     }
-    rebuild();
+    rebuildView();
     return beliefs;
 }
 
 Millis Replica::age(TimePoint now) const
 {
-    return m_complete ? millisBetween(m_freshAsOf, now) : Millis::max();
+    return m_isComplete ? millisBetween(m_freshAsOf, now) : Millis::max();
 }
 
 std::pair<ItemChange, std::int64_t> Replica::asDelta(const ItemChange &change) const
@@ -107,9 +107,9 @@
     if (it == m_items.end()) {
         return std::nullopt;
     }
-    const Held *older = it->second.revision == base ? &it->second : nullptr;
-    if (const auto former = m_former.find(change.key); former != m_former.end()) {
-        for (const auto &held : former->second) {
+    const HeldItem *older = it->second.revision == base ? &it->second : nullptr;
+    if (const auto previous = m_previousItems.find(change.key); previous != m_previousItems.end()) {
+        for (const auto &held : previous->second) {
             older = held.revision == base ? &held : older;
         }
     }
@@ -131,10 +131,10 @@
     return items;
 }
 
-void Replica::applyItem(const ItemChange &change, bool wasAway, TimePoint now,
+void Replica::applyItem(const ItemChange &change, bool wasSourceUnavailable, TimePoint now,
                         std::vector<BeliefChange> &beliefs)
 {
-    const bool wasLapsed = m_lapsed.erase(change.key) > 0;
+    const bool wasLapsed = m_lapsedUntil.erase(change.key) > 0;
     auto &held = m_items[change.key];
     if (held.revision >= change.revision) {
         return;
@@ -143,10 +143,10 @@
         beliefs.push_back({"server-returned", change.key, std::to_string(change.revision)});
     }
     if (held.revision > 0) {
-        auto &former = m_former[change.key];
-        former.push_back(std::move(held));
-        if (former.size() > kFormerValues) {
-            former.pop_front();
+        auto &previous = m_previousItems[change.key];
+        previous.push_back(std::move(held));
+        if (previous.size() > kMaxPreviousItems) {
+            previous.pop_front();
         }
     }
     held = {change.value, change.revision};
@@ -155,13 +155,13 @@
         beliefs.push_back({"item-unreadable", change.key,
                            decoded.error().place + ": " + decoded.error().reason});
         if (m_servers.count(change.key) > 0) {
-            remove(change.key, wasAway, now, beliefs);
+            removeItem(change.key, wasSourceUnavailable, now, beliefs);
             m_items[change.key] = {change.value, change.revision};
         }
         return;
     }
     if (auto *configuration = std::get_if<Configuration>(&decoded.value())) {
-        takeConfiguration(std::move(*configuration), beliefs);
+        applyConfiguration(std::move(*configuration), beliefs);
     } else if (auto *server = std::get_if<BackendServer>(&decoded.value())) {
         server->learnedAt = now;
         const auto it = m_servers.find(change.key);
@@ -172,42 +172,42 @@
                                        + " started=" + std::to_string(server->startedMillis)});
         }
         m_servers[change.key] = std::move(*server);
-        m_dirty = true;
+        m_isViewOutdated = true;
     } else if (const auto *zone = std::get_if<EvacuatedZone>(&decoded.value())) {
         beliefs.push_back({"zone-evacuated", zone->zone, std::to_string(change.revision)});
-        m_zones[change.key] = zone->zone;
-        m_dirty = true;
+        m_evacuatedZones[change.key] = zone->zone;
+        m_isViewOutdated = true;
     }
 }
 
-void Replica::remove(const std::string &key, bool wasAway, TimePoint now,
-                     std::vector<BeliefChange> &beliefs)
+void Replica::removeItem(const std::string &key, bool wasSourceUnavailable, TimePoint now,
+                         std::vector<BeliefChange> &beliefs)
 {
     m_items.erase(key);
-    m_former.erase(key);
-    if (wasAway && m_servers.count(key) > 0 && !m_servers[key].isDraining) {
-        beliefs.push_back({"server-lapsed", m_servers[key].id, "kept for a grace"});
-        m_lapsed.emplace(key, now + m_lapseGrace);
+    m_previousItems.erase(key);
+    if (wasSourceUnavailable && m_servers.count(key) > 0 && !m_servers[key].isDraining) {
+        beliefs.push_back({"server-lapsed", m_servers[key].id, "kept for the grace period"});
+        m_lapsedUntil.emplace(key, now + m_gracePeriod);
         return;
     }
-    forget(key, beliefs);
+    removeDecoded(key, beliefs);
 }
 
-void Replica::forget(const std::string &key, std::vector<BeliefChange> &beliefs)
+void Replica::removeDecoded(const std::string &key, std::vector<BeliefChange> &beliefs)
 {
     if (const auto it = m_servers.find(key); it != m_servers.end()) {
         beliefs.push_back({"server-gone", it->second.id, it->second.service});
         m_servers.erase(it);
-        m_dirty = true;
+        m_isViewOutdated = true;
     }
-    if (const auto it = m_zones.find(key); it != m_zones.end()) {
+    if (const auto it = m_evacuatedZones.find(key); it != m_evacuatedZones.end()) {
         beliefs.push_back({"zone-back", it->second, ""});
-        m_zones.erase(it);
-        m_dirty = true;
+        m_evacuatedZones.erase(it);
+        m_isViewOutdated = true;
     }
 }
 
-void Replica::takeConfiguration(Configuration configuration, std::vector<BeliefChange> &beliefs)
+void Replica::applyConfiguration(Configuration configuration, std::vector<BeliefChange> &beliefs)
 {
     const auto version = std::to_string(configuration.version);
     if (m_routing && configuration.version <= m_routing->version()) {
@@ -222,16 +222,16 @@
         return;
     }
     m_routing = std::make_shared<const RoutingTable>(std::move(table.value()));
-    m_dirty = true;
+    m_isViewOutdated = true;
     beliefs.push_back({"configuration-accepted", version, ""});
 }
 
-void Replica::rebuild()
+void Replica::rebuildView()
 {
-    if (!m_dirty) {
+    if (!m_isViewOutdated) {
         return;
     }
-    m_dirty = false;
+    m_isViewOutdated = false;
     auto view = std::make_shared<Directory>();
     view->routing = m_routing;
     view->revision = m_revision;
@@ -244,13 +244,13 @@
         newest = std::max(newest, server.startedMillis);
     }
     for (const auto &[id, server] : view->servers) {
-        // An entry outlives a server that lost power by some heartbeats; what has started at its
-        // address since is the one that answers there.
+        // The entry of a server that lost power remains for some heartbeats. If another server has
+        // started at the same address since, that one responds there.
         if (server.startedMillis >= newestAt[{server.address.host, server.address.port}]) {
             view->byService[server.service].push_back(&server);
         }
     }
-    for (const auto &[key, zone] : m_zones) {
+    for (const auto &[key, zone] : m_evacuatedZones) {
         view->evacuatedZones.insert(zone);
     }
     m_view = std::move(view);
--- a/src/celeryramp/directory/replica.h
+++ b/src/celeryramp/directory/replica.h
@@ -14,16 +14,16 @@
 
 namespace celeryramp::directory {
 
-/*! @brief One change of the published items. */
+/*! @brief Update or removal of one published item. */
 struct ItemChange
 {
     std::string key;
-    std::string value; /*!< Empty when removed. */
+    std::string value; /*!< Empty if the item is removed. */
     std::int64_t revision = 0;
     bool isRemoved = false;
 };
 
-/*! @brief What a change meant, for logs. */
+/*! @brief Effect of a change on the replica, for the log. */
 struct BeliefChange
 {
     std::string event;
@@ -32,95 +32,115 @@
 };
 
 /*!
- * @brief This node's copy of what is published, ordered by revision, with the age of its knowledge.
+ * @brief This node's copy of the published items, with its revision and age.
  *
- * Never goes back: changes older than what is held are ignored, and a configuration replaces only
- * an older version. A server whose entry lapsed while the source was away stays usable for a grace,
- * since it may only not have been able to renew it.
+ * The replica never goes back: changes older than the held items are ignored, and a configuration
+ * replaces only an older version. If the entry of a server expires while the source is unavailable,
+ * the server stays usable for a grace period, since it may merely have been unable to renew the
+ * entry.
  */
 class Replica
 {
 public:
-    /*! @param decoder Outlives the replica. @param lapseGrace See `onSourceReturned`. */
-    Replica(const ItemDecoder &decoder, Millis lapseGrace)
-        : m_decoder{decoder}, m_lapseGrace{lapseGrace}
+    /*!
+     * @param decoder Must outlive the replica.
+     * @param gracePeriod Use of a server after its entry expired while the source was unavailable.
+     */
+    Replica(const ItemDecoder &decoder, Millis gracePeriod)
+        : m_decoder{decoder}, m_gracePeriod{gracePeriod}
     { }
 
     /*!
-     * @brief Takes a complete list in. An item that is held at its revision needs no value.
-     * @param revision Of the source when the first page was made. @param askedAt When it was asked
-     * for. @param wasAway The source could not be reached shortly before.
+     * @brief Applies a complete list; held items that are not in it are removed.
+     * @param items An item that is held at the same revision needs no value.
+     * @param revision Of the source when it produced the first page. A list older than the replica
+     * is ignored.
+     * @param requestedAt When the first page was requested; determines the age of the replica.
+     * @param wasSourceUnavailable The source was unavailable until shortly before.
+     * @return The effects on the replica.
      */
     std::vector<BeliefChange> applyList(const std::vector<ItemChange> &items, std::int64_t revision,
-                                        TimePoint askedAt, bool wasAway, TimePoint now);
+                                        TimePoint requestedAt, bool wasSourceUnavailable,
+                                        TimePoint now);
 
-    /*! @brief Takes changes that follow what is held. */
+    /*!
+     * @brief Applies changes to the held items. Other parameters and result as for `applyList`.
+     * @param requestedAt `TimePoint{}` if unknown; the age of the replica then stays unchanged.
+     */
     std::vector<BeliefChange> applyChanges(const std::vector<ItemChange> &changes,
-                                           std::int64_t revision, TimePoint askedAt, bool wasAway,
-                                           TimePoint now);
+                                           std::int64_t revision, TimePoint requestedAt,
+                                           bool wasSourceUnavailable, TimePoint now);
 
-    /*! @brief Somebody who reads confirms that what is held was complete then. */
+    /*! @brief Records that a reader confirmed the replica to be complete at this time. */
     void confirm(TimePoint asOf) noexcept { m_freshAsOf = std::max(m_freshAsOf, asOf); }
 
-    /*! @brief Drops servers whose grace has run out. */
+    /*! @brief Removes servers whose grace period has ended. @return The effects on the replica. */
     std::vector<BeliefChange> expire(TimePoint now);
 
-    /*! @return The present view; never null. */
+    /*! @return The current snapshot; never null. */
     [[nodiscard]] const DirectoryPtr &view() const noexcept { return m_view; }
 
-    /*! @return Revision that all held items are at. */
+    /*! @return Revision of the source that the replica reflects. */
     [[nodiscard]] std::int64_t revision() const noexcept { return m_revision; }
 
-    /*! @return True once a complete list was taken in. */
-    [[nodiscard]] bool isComplete() const noexcept { return m_complete; }
+    /*! @return True once a complete list has been applied. */
+    [[nodiscard]] bool isComplete() const noexcept { return m_isComplete; }
 
-    /*! @return How old the knowledge is at most; very long before the first list. */
+    /*! @return Upper bound of the replica's age; `Millis::max()` before the first list. */
     [[nodiscard]] Millis age(TimePoint now) const;
 
-    /*! @return The change with its value as a delta against what is held, when that is smaller, and
-     * the revision held; 0 when the value is given in full. */
+    /*!
+     * @brief Encodes the value of a change as a delta against the held value.
+     * @return The change with the delta and the revision of the held value. If the delta is not
+     * smaller, the unchanged change and 0.
+     */
     [[nodiscard]] std::pair<ItemChange, std::int64_t> asDelta(const ItemChange &change) const;
-    /*! @return The change with its full value, or nothing when the base is not held. */
+    /*!
+     * @brief Restores the full value of a change that `asDelta` encoded.
+     * @param base Revision that the delta is based on; 0 if the value is not a delta.
+     * @return The change with its full value; empty if the base is not held or does not match.
+     */
     [[nodiscard]] std::optional<ItemChange> fromDelta(ItemChange change, std::int64_t base) const;
 
-    /*! Replaced values kept of each key, as bases for the deltas of readers that read at other
-     *  times than those whose news came first. */
-    static constexpr std::size_t kFormerValues = 3;
+    /*! Number of replaced values kept for each key. Several readers read at different times and
+     *  therefore encode their deltas against different revisions. */
+    static constexpr std::size_t kMaxPreviousItems = 3;
 
-    /*! @return All items with their revisions, to pass on to a peer that holds less. */
+    /*! @return All items with their revisions, to send to a peer whose replica is behind. */
     [[nodiscard]] std::vector<ItemChange> items() const;
 
-    /*! @return When the knowledge was known to be complete. */
+    /*! @return Latest time at which the replica is known to have been complete. */
     [[nodiscard]] TimePoint freshAsOf() const noexcept { return m_freshAsOf; }
 
 private:
-    struct Held
+    struct HeldItem
     {
         std::string value;
         std::int64_t revision = 0;
     };
 
-    void applyItem(const ItemChange &change, bool wasAway, TimePoint now,
+    void applyItem(const ItemChange &change, bool wasSourceUnavailable, TimePoint now,
                    std::vector<BeliefChange> &beliefs);
-    void remove(const std::string &key, bool wasAway, TimePoint now,
-                std::vector<BeliefChange> &beliefs);
-    void forget(const std::string &key, std::vector<BeliefChange> &beliefs);
-    void takeConfiguration(Configuration configuration, std::vector<BeliefChange> &beliefs);
-    void rebuild();
+    void removeItem(const std::string &key, bool wasSourceUnavailable, TimePoint now,
+                    std::vector<BeliefChange> &beliefs);
+    void removeDecoded(const std::string &key, std::vector<BeliefChange> &beliefs);
+    void applyConfiguration(Configuration configuration, std::vector<BeliefChange> &beliefs);
+    void rebuildView();
 
     const ItemDecoder &m_decoder;
-    Millis m_lapseGrace;
-    std::map<std::string, Held> m_items;
-    std::map<std::string, std::deque<Held>> m_former; /*!< Replaced values, newest last. */
-    std::map<std::string, BackendServer> m_servers; /*!< By key. */
-    std::map<std::string, std::string> m_zones; /*!< Evacuated zone by key. */
-    std::map<std::string, TimePoint> m_lapsed; /*!< Missing entries by key, and until when used. */
+    Millis m_gracePeriod;
+    std::map<std::string, HeldItem> m_items;
+    std::map<std::string, std::deque<HeldItem>>
+            m_previousItems; /*!< Replaced values by key, newest last. */
+    std::map<std::string, BackendServer> m_servers; /*!< By item key. */
+    std::map<std::string, std::string> m_evacuatedZones; /*!< Zone by item key. */
+    std::map<std::string, TimePoint> m_lapsedUntil; /*!< End of the grace period by item key. */
     std::shared_ptr<const RoutingTable> m_routing;
     DirectoryPtr m_view = std::make_shared<Directory>();
     std::int64_t m_revision = 0;
     TimePoint m_freshAsOf;
-    bool m_complete = false;
-    bool m_dirty = false;
+    bool m_isComplete = false;
+    bool m_isViewOutdated = false;
 };
 
 } // namespace celeryramp::directory
--- a/src/celeryramp/directory/routing_table.cpp
+++ b/src/celeryramp/directory/routing_table.cpp
@@ -7,27 +7,28 @@
 
 namespace internal {
 
-[[nodiscard]] std::optional<DirectoryError> checkRoute(const Route &route)
+[[nodiscard]] std::optional<DirectoryError> validateRoute(const Route &route)
 {
     if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/') {
-        return DirectoryError{route.name, "prefix does not begin and end with a slash"};
+        return DirectoryError{route.name, "prefix must begin and end with a slash"};
     }
     if (route.timeout.count() <= 0) {
-        return DirectoryError{route.name, "timeout is not above zero"};
+        return DirectoryError{route.name, "timeout must be greater than zero"};
     }
     if (route.maxAttempts < 1) {
-        return DirectoryError{route.name, "fewer than one attempt"};
+        return DirectoryError{route.name, "at least one attempt is required"};
     }
     if (route.split.empty()) {
-        return DirectoryError{route.name, "no destination"};
+        return DirectoryError{route.name, "at least one destination is required"};
     }
-    const auto weights
+    const auto totalWeight
             = std::accumulate(route.split.begin(), route.split.end(), 0,
                               [](int sum, const SplitPart &part) { return sum + part.weight; });
     const bool hasNegative = std::any_of(route.split.begin(), route.split.end(),
                                          [](const SplitPart &part) { return part.weight < 0; });
-    if (hasNegative || weights <= 0) {
-        return DirectoryError{route.name, "weights do not add up to more than zero"};
+    if (hasNegative || totalWeight <= 0) {
+        return DirectoryError{
+                route.name, "weights must not be negative and their sum must be greater than zero"};
     }
     return std::nullopt;
 }
@@ -38,15 +39,15 @@
 {
     RoutingTable table;
     table.m_configuration = std::move(configuration);
-    const auto &model = table.m_configuration;
-    for (std::size_t i = 0; i < model.services.size(); ++i) {
-        if (!table.m_services.emplace(model.services[i].name, i).second) {
-            return DirectoryError{model.services[i].name, "service named twice"};
+    const auto &config = table.m_configuration;
+    for (std::size_t i = 0; i < config.services.size(); ++i) {
+        if (!table.m_services.emplace(config.services[i].name, i).second) {
+            return DirectoryError{config.services[i].name, "duplicate service name"};
         }
     }
-    for (std::size_t i = 0; i < model.routes.size(); ++i) {
-        const auto &route = model.routes[i];
-        if (auto error = internal::checkRoute(route)) {
+    for (std::size_t i = 0; i < config.routes.size(); ++i) {
+        const auto &route = config.routes[i];
+        if (auto error = internal::validateRoute(route)) {
             return std::move(*error);
         }
         for (const auto &part : route.split) {
@@ -54,28 +55,28 @@
                 return DirectoryError{route.name, "unknown service " + part.service};
             }
         }
-        auto &places = table.m_byHost[route.host];
-        for (const auto place : places) {
-            if (model.routes[place].prefix == route.prefix) {
+        auto &indices = table.m_byHost[route.host];
+        for (const auto index : indices) {
+            if (config.routes[index].prefix == route.prefix) {
                 return DirectoryError{route.name,
-                                      "same host and prefix as " + model.routes[place].name};
+                                      "same host and prefix as route " + config.routes[index].name};
             }
         }
-        places.push_back(i);
+        indices.push_back(i);
     }
-    for (auto &[host, places] : table.m_byHost) {
-        std::stable_sort(places.begin(), places.end(), [&model](std::size_t a, std::size_t b) {
-            return model.routes[a].prefix.size() > model.routes[b].prefix.size();
+    for (auto &[host, indices] : table.m_byHost) {
+        std::stable_sort(indices.begin(), indices.end(), [&config](std::size_t a, std::size_t b) {
+            return config.routes[a].prefix.size() > config.routes[b].prefix.size();
         });
     }
-    for (std::size_t i = 0; i < model.accounts.size(); ++i) {
-        const auto &account = model.accounts[i];
+    for (std::size_t i = 0; i < config.accounts.size(); ++i) {
+        const auto &account = config.accounts[i];
         if (!table.m_accounts.emplace(account.name, i).second) {
-            return DirectoryError{account.name, "account named twice"};
+            return DirectoryError{account.name, "duplicate account name"};
         }
         for (const auto &key : account.keys) {
             if (!table.m_byKey.emplace(key, i).second) {
-                return DirectoryError{account.name, "API key held by two accounts"};
+                return DirectoryError{account.name, "duplicate API key"};
             }
         }
     }
@@ -85,8 +86,8 @@
 const Route *RoutingTable::findRoute(std::string_view host, std::string_view path) const
 {
     if (const auto it = m_byHost.find(std::string{host}); it != m_byHost.end()) {
-        for (const auto place : it->second) {
-            const auto &route = m_configuration.routes[place];
+        for (const auto index : it->second) {
+            const auto &route = m_configuration.routes[index];
             if (path.substr(0, route.prefix.size()) == route.prefix) {
                 return &route;
             }
--- a/src/celeryramp/directory/routing_table.h
+++ b/src/celeryramp/directory/routing_table.h
@@ -12,11 +12,11 @@
 
 namespace celeryramp::directory {
 
-/*! @brief Immutable, validated configuration with the lookups that requests need. */
+/*! @brief Immutable, validated configuration with lookups for request routing. */
 class RoutingTable
 {
 public:
-    /*! @return The table, or why the configuration is not usable. */
+    /*! @return The table, or the first error found in the configuration. */
     [[nodiscard]] static Result<RoutingTable, DirectoryError> build(Configuration configuration);
 
     [[nodiscard]] std::uint64_t version() const noexcept { return m_configuration.version; }
@@ -24,28 +24,30 @@
     [[nodiscard]] const Configuration &configuration() const noexcept { return m_configuration; }
 
     /*!
-     * @param host Lower case, without port. @param path Without the query.
-     * @return The route of the host with the longest prefix of the path, or null.
+     * @param host Lower case, without port.
+     * @param path Without the query.
+     * @return The route of the host with the longest matching prefix, or null.
      */
     [[nodiscard]] const Route *findRoute(std::string_view host, std::string_view path) const;
 
-    /*! @return The account that holds the key, or null. */
+    /*! @return The account to which the API key belongs, or null. */
     [[nodiscard]] const ClientAccount *findAccountByKey(std::string_view key) const;
 
-    /*! @return The account of this name, or null. */
+    /*! @return The account with this name, or null. */
     [[nodiscard]] const ClientAccount *findAccount(std::string_view name) const;
 
-    /*! @return The service, or null. */
+    /*! @return The service with this name, or null. */
     [[nodiscard]] const Service *findService(std::string_view name) const;
 
-    /*! @return True when requests need the key of an account. */
+    /*! @return True if the configuration has accounts, so that requests need an API key. */
     [[nodiscard]] bool needsKeys() const noexcept { return !m_configuration.accounts.empty(); }
 
 private:
     RoutingTable() = default;
 
     Configuration m_configuration;
-    std::unordered_map<std::string, std::vector<std::size_t>> m_byHost; /*!< Longest first. */
+    /*! Indices of the routes by host, longest prefix first. */
+    std::unordered_map<std::string, std::vector<std::size_t>> m_byHost;
     std::unordered_map<std::string, std::size_t> m_byKey;
     std::map<std::string, std::size_t, std::less<>> m_accounts;
     std::map<std::string, std::size_t, std::less<>> m_services;
--- a/src/celeryramp/directory/service.h
+++ b/src/celeryramp/directory/service.h
@@ -6,14 +6,14 @@
 
 namespace celeryramp::directory {
 
-/*! @brief Interchangeable backend servers and what each of them bears. */
+/*! @brief A group of interchangeable backend servers and the limits of each of them. */
 struct Service
 {
     std::string name;
     std::string healthPath;
-    int maxConnections = 0; /*!< Connections one server accepts; 0 for no limit. */
-    Millis coldStart{0}; /*!< Time after its start during which a server is cold. */
-    double coldPerSecond = 0.0; /*!< Requests a second a cold server bears; 0 for no limit. */
+    int maxConnections = 0; /*!< Per server; 0 means unlimited. */
+    Millis coldStart{0}; /*!< Time after its start for which a server is cold. */
+    double coldPerSecond = 0.0; /*!< Request rate limit of a cold server; 0 means unlimited. */
 };
 
 } // namespace celeryramp::directory
--- a/src/celeryramp/directory/value_delta.cpp
+++ b/src/celeryramp/directory/value_delta.cpp
@@ -10,21 +10,21 @@
 
 namespace internal {
 
-constexpr char kPieceStart = '{';
-/*! Kinds of a step: bytes that follow, or a run of the older value. */
-constexpr char kLiteral = 'L';
-constexpr char kCopy = 'C';
+constexpr char kChunkStart = '{';
+/*! Operations of a delta: append literal bytes, or copy a range of the older value. */
+constexpr char kLiteralOpcode = 'L';
+constexpr char kCopyOpcode = 'C';
 
-[[nodiscard]] std::vector<std::string_view> split(std::string_view value)
+[[nodiscard]] std::vector<std::string_view> splitIntoChunks(std::string_view value)
 {
-    std::vector<std::string_view> pieces;
+    std::vector<std::string_view> chunks;
     std::size_t begin = 0;
     while (begin < value.size()) {
-        const auto end = std::min(value.find(kPieceStart, begin + 1), value.size());
-        pieces.push_back(value.substr(begin, end - begin));
+        const auto end = std::min(value.find(kChunkStart, begin + 1), value.size());
+        chunks.push_back(value.substr(begin, end - begin));
         begin = end;
     }
-    return pieces;
+    return chunks;
 }
 
 void appendNumber(std::string &out, std::uint64_t value)
@@ -34,7 +34,7 @@
     }
 }
 
-[[nodiscard]] std::optional<std::uint64_t> takeNumber(std::string_view &in)
+[[nodiscard]] std::optional<std::uint64_t> readNumber(std::string_view &in)
 {
     if (in.size() < 8) {
         return std::nullopt;
@@ -51,18 +51,18 @@
 
 std::string makeDelta(std::string_view older, std::string_view newer)
 {
-    std::unordered_map<std::string_view, std::size_t> places;
-    for (const auto piece : internal::split(older)) {
-        places.emplace(piece, static_cast<std::size_t>(piece.data() - older.data()));
+    std::unordered_map<std::string_view, std::size_t> offsets;
+    for (const auto chunk : internal::splitIntoChunks(older)) {
+        offsets.emplace(chunk, static_cast<std::size_t>(chunk.data() - older.data()));
     }
     std::string out;
     internal::appendNumber(out, stableHash(newer));
     std::string literal;
-    std::size_t copyFrom = 0;
+    std::size_t copyOffset = 0;
     std::size_t copyLength = 0;
     const auto flushLiteral = [&] {
         if (!literal.empty()) {
-            out.push_back(internal::kLiteral);
+            out.push_back(internal::kLiteralOpcode);
             internal::appendNumber(out, literal.size());
             out.append(literal);
             literal.clear();
@@ -70,26 +70,26 @@
     };
     const auto flushCopy = [&] {
         if (copyLength > 0) {
-            out.push_back(internal::kCopy);
-            internal::appendNumber(out, copyFrom);
+            out.push_back(internal::kCopyOpcode);
+            internal::appendNumber(out, copyOffset);
             internal::appendNumber(out, copyLength);
             copyLength = 0;
         }
     };
-    for (const auto piece : internal::split(newer)) {
-        const bool continues
-                = copyLength > 0 && older.substr(copyFrom + copyLength, piece.size()) == piece;
-        if (continues) {
-            copyLength += piece.size();
+    for (const auto chunk : internal::splitIntoChunks(newer)) {
+        const bool extendsCopy
+                = copyLength > 0 && older.substr(copyOffset + copyLength, chunk.size()) == chunk;
+        if (extendsCopy) {
+            copyLength += chunk.size();
             continue;
         }
         flushCopy();
-        if (const auto it = places.find(piece); it != places.end()) {
+        if (const auto it = offsets.find(chunk); it != offsets.end()) {
             flushLiteral();
-            copyFrom = it->second;
-            copyLength = piece.size();
+            copyOffset = it->second;
+            copyLength = chunk.size();
         } else {
-            literal.append(piece);
+            literal.append(chunk);
         }
     }
     flushCopy();
@@ -99,25 +99,26 @@
 
 std::optional<std::string> applyDelta(std::string_view older, std::string_view delta)
 {
-    const auto hash = internal::takeNumber(delta);
+    const auto hash = internal::readNumber(delta);
     if (!hash) {
         return std::nullopt;
     }
     std::string newer;
     while (!delta.empty()) {
-        const char kind = delta.front();
+        const char opcode = delta.front();
         delta.remove_prefix(1);
-        const auto first = internal::takeNumber(delta);
-        if (kind == internal::kLiteral && first && *first <= delta.size()) {
-            newer.append(delta.substr(0, *first));
-            delta.remove_prefix(*first);
+        const auto operand = internal::readNumber(delta);
+        if (opcode == internal::kLiteralOpcode && operand && *operand <= delta.size()) {
+            newer.append(delta.substr(0, *operand));
+            delta.remove_prefix(*operand);
             continue;
         }
-        const auto length = kind == internal::kCopy ? internal::takeNumber(delta) : std::nullopt;
-        if (!first || !length || *first > older.size() || *length > older.size() - *first) {
+        const auto length
+                = opcode == internal::kCopyOpcode ? internal::readNumber(delta) : std::nullopt;
+        if (!operand || !length || *operand > older.size() || *length > older.size() - *operand) {
             return std::nullopt;
         }
-        newer.append(older.substr(*first, *length));
+        newer.append(older.substr(*operand, *length));
     }
     if (stableHash(newer) != *hash) {
         return std::nullopt;
--- a/test/directory/reader_rota.cpp
+++ b/test/directory/reader_rota.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/*! Within which a configuration must be in force everywhere, less the way of the news. */
-constexpr Millis kBound{1900};
-/*! Nodes look at their knowledge this often. */
-constexpr Millis kLook{250};
+/*! Time within which a configuration must be in force everywhere, less its propagation delay. */
+constexpr Millis kApplyDeadline{1900};
+/*! Interval at which nodes check the age of their replica. */
+constexpr Millis kCheckInterval{250};
 
 } // namespace
 
-TEST_CASE("One node of a zone reads, the others rely on it")
+TEST_CASE("One node of a zone reads for the others")
 {
     CHECK(readPause({0, Millis{0}, false}));
     for (std::size_t place = 1; place < 30; ++place) {
@@ -22,27 +22,28 @@
     }
 }
 
-TEST_CASE("A node without knowledge, or that lacks announced news, reads for itself")
+TEST_CASE("A node reads if its replica is empty or misses an announced revision")
 {
     CHECK(readPause({20, Millis::max(), true}));
     CHECK(readPause({20, Millis{100}, true}));
 }
 
-TEST_CASE("Pattern: the reader falls silent, the second one too, the third is still in time")
+TEST_CASE("Pattern: the reader and the second node fail and the third takes over in time")
 {
-    // The news came right after the last confirmation, which was 1 s old at the nodes.
+    // The worst case is a change right after the last confirmation, when replicas are 1 s old.
     for (std::size_t place = 1; place <= 2; ++place) {
         bool hasRead = false;
-        for (Millis age{0}; age + kLook <= kBound; age += Millis{10}) {
+        for (Millis age{0}; age + kCheckInterval <= kApplyDeadline; age += Millis{10}) {
             hasRead = hasRead || readPause({place, age, false}).has_value();
         }
         CHECK(hasRead);
     }
-    // Not all at once: the platform bears a whole fleet's calls only for moments.
+    // Nodes take over one by one, since the platform sustains the requests of a whole fleet only
+    // briefly.
     CHECK_FALSE(readPause({5, Millis{1500}, false}));
 }
 
-TEST_CASE("Knowledge that is too old for a whole zone is read by each node")
+TEST_CASE("Every node reads if the replicas of the whole zone are too old")
 {
     CHECK(readPause({50, Millis{3001}, false}));
 }
--- a/test/directory/replica.cpp
+++ b/test/directory/replica.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Millis kGrace{1500};
+constexpr Millis kGracePeriod{1500};
 const TimePoint kStart{std::chrono::hours{1}};
 
 ItemChange server(const char *id, std::int64_t revision, const char *state = "ready")
@@ -31,10 +31,10 @@
 
 } // namespace
 
-TEST_CASE("A list fills the replica and a newer one drops what is missing")
+TEST_CASE("A list fills the replica and a newer list removes missing items")
 {
     const test::TextDecoder decoder;
-    Replica replica{decoder, kGrace};
+    Replica replica{decoder, kGracePeriod};
     REQUIRE(replica.age(kStart) == Millis::max());
     static_cast<void>(replica.applyList({version(1, 2), server("a", 3), server("b", 4)}, 4, kStart,
                                         false, kStart));
@@ -47,23 +47,23 @@
     REQUIRE(replica.view()->findServer("b") != nullptr);
 }
 
-TEST_CASE("The replica never goes back, whatever comes late")
+TEST_CASE("The replica ignores outdated lists and changes")
 {
     const test::TextDecoder decoder;
-    Replica replica{decoder, kGrace};
+    Replica replica{decoder, kGracePeriod};
     static_cast<void>(replica.applyList({version(7, 10), server("a", 11, "draining")}, 11, kStart,
                                         false, kStart));
-    SECTION("an older list")
+    SECTION("a list with an older revision")
     {
         const auto beliefs
                 = replica.applyList({version(6, 5), server("a", 6)}, 8, kStart, false, kStart);
         REQUIRE(has(beliefs, "list-ignored"));
     }
-    SECTION("an older change")
+    SECTION("a change with an older revision")
     {
         static_cast<void>(replica.applyChanges({server("a", 6)}, 12, kStart, false, kStart));
     }
-    SECTION("a newer item with an older version")
+    SECTION("a newer item with an older configuration version")
     {
         const auto beliefs = replica.applyChanges({version(6, 12)}, 12, kStart, false, kStart);
         REQUIRE(has(beliefs, "configuration-ignored"));
@@ -72,10 +72,10 @@
     REQUIRE(replica.view()->findServer("a")->isDraining);
 }
 
-TEST_CASE("An item that cannot be read names no server and leaves the others")
+TEST_CASE("An unreadable item removes its server and no other")
 {
     const test::TextDecoder decoder;
-    Replica replica{decoder, kGrace};
+    Replica replica{decoder, kGracePeriod};
     static_cast<void>(
             replica.applyList({server("a", 3), server("b", 4)}, 4, kStart, false, kStart));
     const auto beliefs
@@ -87,50 +87,51 @@
     REQUIRE(replica.view()->findServer("a") != nullptr);
 }
 
-TEST_CASE("An entry that lapsed while the source was away is kept for a grace, then gone")
+TEST_CASE(
+        "A server entry that expires while the source is unavailable is kept for the grace period")
 {
     const test::TextDecoder decoder;
-    Replica replica{decoder, kGrace};
+    Replica replica{decoder, kGracePeriod};
     static_cast<void>(replica.applyList({server("a", 3)}, 3, kStart, false, kStart));
     const auto back = kStart + Millis{10'000};
     static_cast<void>(replica.applyList({}, 9, back, true, back));
     REQUIRE(replica.view()->findServer("a") != nullptr);
-    SECTION("it is published again")
+    SECTION("the entry is published again")
     {
         static_cast<void>(
                 replica.applyChanges({server("a", 12)}, 12, back, true, back + Millis{1000}));
-        static_cast<void>(replica.expire(back + kGrace * 2));
+        static_cast<void>(replica.expire(back + kGracePeriod * 2));
         REQUIRE(replica.view()->findServer("a") != nullptr);
     }
-    SECTION("it is not")
+    SECTION("the entry is not published again")
     {
-        static_cast<void>(replica.expire(back + kGrace - Millis{1}));
+        static_cast<void>(replica.expire(back + kGracePeriod - Millis{1}));
         REQUIRE(replica.view()->findServer("a") != nullptr);
-        REQUIRE(has(replica.expire(back + kGrace), "server-gone"));
+        REQUIRE(has(replica.expire(back + kGracePeriod), "server-gone"));
         REQUIRE(replica.view()->findServer("a") == nullptr);
     }
 }
 
-TEST_CASE("Knowledge is as old as the question it answers, not as the answer")
+TEST_CASE("The age of the replica counts from the request rather than the response")
 {
     const test::TextDecoder decoder;
-    Replica replica{decoder, kGrace};
+    Replica replica{decoder, kGracePeriod};
     static_cast<void>(replica.applyList({}, 3, kStart, false, kStart + Millis{900}));
     REQUIRE(replica.age(kStart + Millis{1000}) == Millis{1000});
     static_cast<void>(
             replica.applyChanges({}, 3, kStart + Millis{500}, false, kStart + Millis{2500}));
     REQUIRE(replica.age(kStart + Millis{2500}) == Millis{2000});
-    // Changes of unknown age say what is published, not that it still is.
+    // Changes of unknown age are applied but do not make the replica younger.
     static_cast<void>(
             replica.applyChanges({server("a", 4)}, 4, TimePoint{}, false, kStart + Millis{3000}));
     REQUIRE(replica.age(kStart + Millis{3000}) == Millis{2500});
     REQUIRE(replica.view()->findServer("a") != nullptr);
 }
 
-TEST_CASE("A list from a peer may leave out the values that are held")
+TEST_CASE("A list from a peer may omit values that are already held")
 {
     const test::TextDecoder decoder;
-    Replica replica{decoder, kGrace};
+    Replica replica{decoder, kGracePeriod};
     static_cast<void>(replica.applyList({version(1, 2), server("a", 3)}, 3, kStart, false, kStart));
     auto withoutValue = server("a", 3);
     withoutValue.value.clear();
@@ -139,12 +140,12 @@
     REQUIRE(replica.view()->routing->version() == 2);
 }
 
-TEST_CASE("Pattern: two readers pass the same changes on at other times, both sets of deltas fit")
+TEST_CASE("Pattern: deltas of two readers that read at different times are applicable")
 {
     const test::TextDecoder decoder;
-    Replica reader{decoder, kGrace};
-    Replica other{decoder, kGrace};
-    Replica node{decoder, kGrace};
+    Replica reader{decoder, kGracePeriod};
+    Replica other{decoder, kGracePeriod};
+    Replica node{decoder, kGracePeriod};
     const auto item = [](int number) {
         return ItemChange{"configuration", std::to_string(number) + std::string(200, '{'),
                           number + 1, false};
@@ -168,10 +169,10 @@
     REQUIRE_FALSE(node.fromDelta(unknown, 77));
 }
 
-TEST_CASE("Pattern: everything lost power, entries of before stand beside those of the new servers")
+TEST_CASE("Pattern: after a power loss old server entries coexist with those of the new servers")
 {
     const test::TextDecoder decoder;
-    Replica replica{decoder, kGrace};
+    Replica replica{decoder, kGracePeriod};
     const ItemChange before{"server/old", "old stock north 10.0.0.1:80 4 ready 0 1000", 3, false};
     const ItemChange after{"server/new", "new stock north 10.0.0.1:80 4 ready 0 5000", 4, false};
     const ItemChange other{"server/other", "other stock north 10.0.0.2:80 4 ready 0 1000", 5,
--- a/test/directory/routing_table.cpp
+++ b/test/directory/routing_table.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("The longest prefix of the host decides")
+TEST_CASE("The route with the longest matching prefix of the host is found")
 {
     const auto table = RoutingTable::build(sample());
     REQUIRE(table);
@@ -53,46 +53,46 @@
     REQUIRE(table.value().findAccountByKey("") == nullptr);
 }
 
-TEST_CASE("A configuration that cannot be served as a whole is rejected with its place")
+TEST_CASE("An invalid configuration is rejected as a whole with the place of the error")
 {
-    auto model = sample();
+    auto configuration = sample();
     SECTION("unknown service")
     {
-        model.routes[1].split = {{"nowhere", 1}};
+        configuration.routes[1].split = {{"nowhere", 1}};
     }
     SECTION("prefix without slashes")
     {
-        model.routes[1].prefix = "/shop";
+        configuration.routes[1].prefix = "/shop";
     }
-    SECTION("no timeout")
+    SECTION("zero timeout")
     {
-        model.routes[1].timeout = Millis{0};
+        configuration.routes[1].timeout = Millis{0};
     }
-    SECTION("no attempts")
+    SECTION("zero attempts")
     {
-        model.routes[1].maxAttempts = 0;
+        configuration.routes[1].maxAttempts = 0;
     }
-    SECTION("no weight")
+    SECTION("zero total weight")
     {
-        model.routes[1].split = {{"stock", 0}, {"orders", 0}};
+        configuration.routes[1].split = {{"stock", 0}, {"orders", 0}};
     }
     SECTION("negative weight")
     {
-        model.routes[1].split = {{"stock", 3}, {"orders", -1}};
+        configuration.routes[1].split = {{"stock", 3}, {"orders", -1}};
     }
-    SECTION("same place twice")
+    SECTION("duplicate host and prefix")
     {
-        model.routes[1].host = "b.example";
+        configuration.routes[1].host = "b.example";
     }
-    SECTION("key of two accounts")
+    SECTION("duplicate API key")
     {
-        model.accounts[1].keys = {"k1"};
+        configuration.accounts[1].keys = {"k1"};
     }
-    SECTION("service twice")
+    SECTION("duplicate service name")
     {
-        model.services.push_back({"stock"});
+        configuration.services.push_back({"stock"});
     }
-    const auto table = RoutingTable::build(model);
+    const auto table = RoutingTable::build(configuration);
     REQUIRE_FALSE(table);
     REQUIRE_FALSE(table.error().place.empty());
     REQUIRE_FALSE(table.error().reason.empty());
--- a/test/directory/value_delta.cpp
+++ b/test/directory/value_delta.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("Pattern: a storm of versions that each touch one of many routes costs little to pass on")
+TEST_CASE("Pattern: the delta of a version that changes one of many routes is small")
 {
     const auto older = routes(1000, 3);
     const auto newer = routes(1000, 700);
@@ -28,7 +28,7 @@
     REQUIRE(applyDelta(older, delta) == newer);
 }
 
-TEST_CASE("Any value is rebuilt from any other, or not at all")
+TEST_CASE("A delta restores exactly the newer value or is rejected")
 {
     rc::prop("round trip", [](const std::string &older, const std::string &newer) {
         RC_ASSERT(applyDelta(older, makeDelta(older, newer)) == newer);
