--- a/src/celeryramp/links/fwd.h
+++ b/src/celeryramp/links/fwd.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the links module: connections between nodes, one a pair, opened on use.
+ *  Forward declarations of the links module: connections between nodes, one per pair, opened on
+ *  first use.
  */
 
 namespace celeryramp::links {
--- a/src/celeryramp/links/link_error.h
+++ b/src/celeryramp/links/link_error.h
@@ -4,10 +4,10 @@
 
 namespace celeryramp::links {
 
-/*! @brief Why links could not be set up. */
+/*! @brief Why a node cannot listen for links. */
 struct LinkError
 {
-    std::string place;
+    std::string place; /*!< Address that cannot be listened on. */
     std::string reason;
 };
 
--- a/src/celeryramp/links/link_events.h
+++ b/src/celeryramp/links/link_events.h
@@ -6,7 +6,7 @@
 
 namespace celeryramp::links {
 
-/*! @brief What links tell their owner, always from the thread of their executor. */
+/*! @brief Callbacks of `PeerLinks`, called on the thread that runs its I/O context. */
 class LinkEvents
 {
 public:
@@ -15,13 +15,16 @@
     LinkEvents &operator=(const LinkEvents &) = delete;
     virtual ~LinkEvents() = default;
 
-    /*! @brief A frame came. */
+    /*! @brief A frame was received. */
     virtual void onFrame(const Address &peer, std::string_view frame) = 0;
-    /*! @brief A link is open. */
+    /*! @brief A link has been opened. */
     virtual void onLinkOpen(const Address &peer) = 0;
-    /*! @brief A link is gone. @param wasOpen False: no frame given to it was ever sent. */
+    /*!
+     * @brief A link has been closed or could not be opened.
+     * @param wasOpen If false, none of the frames passed to the link was sent.
+     */
     virtual void onLinkLost(const Address &peer, bool wasOpen) = 0;
-    /*! @return True while an answer from this peer is awaited. */
+    /*! @return True while a response from this peer is pending. */
     [[nodiscard]] virtual bool isAwaiting(const Address &peer) const = 0;
 };
 
--- a/src/celeryramp/links/peer_links.cpp
+++ b/src/celeryramp/links/peer_links.cpp
@@ -16,12 +16,12 @@
 
 namespace internal {
 
-/*! Name of the upgrade header that says where the opening node listens. */
+/*! Header of the upgrade request with the address on which the opening node listens. */
 constexpr const char *kNodeHeader = "Celeryramp-Node";
 constexpr const char *kPath = "/links";
-/*! Largest frame; requests and answers are bounded well below by the input limits. */
+/*! Maximum frame size; the input limits keep requests and responses well below it. */
 constexpr std::size_t kMaxFrameBytes = 80 * 1024 * 1024;
-/*! Library's read buffer for each link. Answers of a few KB fit in one read. */
+/*! Read buffer of websocketpp per link; a response of a few KB fits in one read. */
 constexpr std::size_t kReadBufferBytes = 8192;
 
 struct ServerConfig : websocketpp::config::asio
@@ -56,10 +56,11 @@
     websocketpp::connection_hdl handle;
     bool isOutgoing = false;
     bool isOpen = false;
-    std::vector<std::string> waiting; /*!< Frames for a link that is not open yet. */
-    TimePoint openedOrAsked; /*!< When opening began. */
-    TimePoint heardAt;
-    TimePoint pingedAt;
+    std::vector<std::string> pendingFrames; /*!< Frames to send once the link is open. */
+    TimePoint openingStartedAt; /*!< When opening began; for an incoming link, when it was accepted.
+                                 */
+    TimePoint lastReceivedAt;
+    TimePoint lastPingAt;
 };
 
 void setSocketOptions(boost::asio::ip::tcp::socket &socket)
@@ -84,15 +85,16 @@
         server.init_asio(&context);
         client.init_asio(&context);
         server.set_reuse_addr(true);
-        server.set_open_handler([this](const Handle &handle) { onIncoming(handle); });
-        setUp(server, incoming);
-        setUp(client, outgoing);
-        client.set_open_handler([this](const Handle &handle) { onOpen(handle, outgoing); });
-        client.set_fail_handler([this](const Handle &handle) { onEnd(handle, outgoing); });
+        server.set_open_handler([this](const Handle &handle) { onAccepted(handle); });
+        setHandlers(server, incomingPeers);
+        setHandlers(client, outgoingPeers);
+        client.set_open_handler([this](const Handle &handle) { onOpen(handle, outgoingPeers); });
+        client.set_fail_handler([this](const Handle &handle) { onClosed(handle, outgoingPeers); });
     }
 
     template <typename Endpoint>
-    void setUp(Endpoint &endpoint, std::map<Handle, Address, std::owner_less<Handle>> &table)
+    void setHandlers(Endpoint &endpoint,
+                     std::map<Handle, Address, std::owner_less<Handle>> &peerByHandle)
     {
         endpoint.set_tcp_post_init_handler([&endpoint](const Handle &handle) {
             websocketpp::lib::error_code ec;
@@ -100,63 +102,68 @@
                 internal::setSocketOptions(connection->get_raw_socket());
             }
         });
-        endpoint.set_message_handler([this, &table](const Handle &handle, const auto &message) {
-            if (const auto it = table.find(handle); it != table.end()) {
-                bytes += message->get_payload().size();
-                touch(it->second);
-                events.onFrame(Address{it->second}, message->get_payload());
+        endpoint.set_message_handler(
+                [this, &peerByHandle](const Handle &handle, const auto &message) {
+                    if (const auto it = peerByHandle.find(handle); it != peerByHandle.end()) {
+                        frameByteCount += message->get_payload().size();
+                        updateLastReceived(it->second);
+                        events.onFrame(Address{it->second}, message->get_payload());
+                    }
+                });
+        endpoint.set_pong_handler([this, &peerByHandle](const Handle &handle, const std::string &) {
+            if (const auto it = peerByHandle.find(handle); it != peerByHandle.end()) {
+                updateLastReceived(it->second);
             }
         });
-        endpoint.set_pong_handler([this, &table](const Handle &handle, const std::string &) {
-            if (const auto it = table.find(handle); it != table.end()) {
-                touch(it->second);
-            }
-        });
-        endpoint.set_close_handler([this, &table](const Handle &handle) { onEnd(handle, table); });
+        endpoint.set_close_handler(
+                [this, &peerByHandle](const Handle &handle) { onClosed(handle, peerByHandle); });
     }
 
-    void touch(const Address &peer)
+    void updateLastReceived(const Address &peer)
     {
         if (const auto it = links.find(peer); it != links.end()) {
-            it->second.heardAt = bootNow();
+            it->second.lastReceivedAt = bootNow();
         }
     }
 
-    void onIncoming(const Handle &handle)
+    void onAccepted(const Handle &handle)
     {
         websocketpp::lib::error_code ec;
         const auto connection = server.get_con_from_hdl(handle, ec);
         const auto peer = ec ? std::nullopt
                              : parseAddress(connection->get_request_header(internal::kNodeHeader));
         if (!peer) {
-            logEvent(LogLevel::Warn, "links", "peer-refused", {{"reason", "names no address"}});
+            logEvent(LogLevel::Warn, "links", "peer-refused",
+                     {{"reason", "no valid node address in the upgrade request"}});
             server.close(handle, websocketpp::close::status::policy_violation, "", ec);
             return;
         }
-        incoming[handle] = *peer;
+        incomingPeers[handle] = *peer;
         auto &link = links[*peer];
-        // Of two links opened at once both are read. A peer that opens another link later has
-        // restarted or lost the old one, so what was awaited there will not come.
-        const bool isCrossing = link.isOpen && link.isOutgoing
-                && millisBetween(link.openedOrAsked, bootNow()) < kOpenTimeout;
-        if (!isCrossing) {
+        // If both nodes open a link at the same time, frames are read from both links. A peer that
+        // opens another link later has restarted or lost the old one, so responses pending on the
+        // old link will not arrive.
+        const bool isSimultaneousOpen = link.isOpen && link.isOutgoing
+                && millisBetween(link.openingStartedAt, bootNow()) < kOpenTimeout;
+        if (!isSimultaneousOpen) {
             if (link.isOpen) {
                 events.onLinkLost(*peer, true);
             }
-            auto waiting = std::move(link.waiting);
+            auto pendingFrames = std::move(link.pendingFrames);
             link = {handle, false, true, {}, bootNow(), bootNow(), {}};
-            for (auto &frame : waiting) {
-                write(link, frame);
+            for (auto &frame : pendingFrames) {
+                writeFrame(link, frame);
             }
             failedAt.erase(*peer);
             events.onLinkOpen(*peer);
         }
     }
 
-    void onOpen(const Handle &handle, std::map<Handle, Address, std::owner_less<Handle>> &table)
+    void onOpen(const Handle &handle,
+                std::map<Handle, Address, std::owner_less<Handle>> &peerByHandle)
     {
-        const auto it = table.find(handle);
-        if (it == table.end()) {
+        const auto it = peerByHandle.find(handle);
+        if (it == peerByHandle.end()) {
             return;
         }
         const Address peer = it->second;
@@ -166,27 +173,28 @@
             return;
         }
         link.isOpen = true;
-        link.heardAt = bootNow();
-        const auto waiting = std::move(link.waiting);
-        link.waiting.clear();
-        for (const auto &frame : waiting) {
-            write(link, frame);
+        link.lastReceivedAt = bootNow();
+        const auto pendingFrames = std::move(link.pendingFrames);
+        link.pendingFrames.clear();
+        for (const auto &frame : pendingFrames) {
+            writeFrame(link, frame);
         }
         events.onLinkOpen(peer);
     }
 
-    void onEnd(const Handle &handle, std::map<Handle, Address, std::owner_less<Handle>> &table)
+    void onClosed(const Handle &handle,
+                  std::map<Handle, Address, std::owner_less<Handle>> &peerByHandle)
     {
-        const auto it = table.find(handle);
-        if (it == table.end()) {
+        const auto it = peerByHandle.find(handle);
+        if (it == peerByHandle.end()) {
             return;
         }
         const Address peer = it->second;
-        table.erase(it);
-        drop(peer, handle);
+        peerByHandle.erase(it);
+        removeLink(peer, handle);
     }
 
-    void drop(const Address &peer, const Handle &handle)
+    void removeLink(const Address &peer, const Handle &handle)
     {
         const auto it = links.find(peer);
         if (it == links.end() || it->second.handle.lock() != handle.lock()) {
@@ -200,8 +208,8 @@
         events.onLinkLost(peer, wasOpen);
     }
 
-    /*! Ends a link that does not answer, without waiting for the peer to agree. */
-    void abandon(const Address &peer)
+    /*! Closes the socket of a link without a closing handshake. */
+    void closeAbruptly(const Address &peer)
     {
         const auto it = links.find(peer);
         if (it == links.end()) {
@@ -212,17 +220,17 @@
         websocketpp::lib::error_code ec;
         if (isOutgoing) {
             if (const auto connection = client.get_con_from_hdl(handle, ec); !ec) {
-                outgoing.erase(handle);
+                outgoingPeers.erase(handle);
                 boost::system::error_code ignored;
                 connection->get_raw_socket().close(ignored);
             }
         } else if (const auto connection = server.get_con_from_hdl(handle, ec); !ec) {
-            incoming.erase(handle);
+            incomingPeers.erase(handle);
             boost::system::error_code ignored;
             connection->get_raw_socket().close(ignored);
         }
         failedAt[peer] = bootNow();
-        drop(peer, handle);
+        removeLink(peer, handle);
     }
 
     bool open(const Address &peer, TimePoint now)
@@ -236,16 +244,16 @@
         }
         connection->append_header(internal::kNodeHeader, self.text());
         connection->set_open_handshake_timeout(static_cast<long>(kOpenTimeout.count()));
-        outgoing[connection->get_handle()] = peer;
+        outgoingPeers[connection->get_handle()] = peer;
         links[peer] = {connection->get_handle(), true, false, {}, now, now, {}};
         client.connect(connection);
         return true;
     }
 
-    void write(const internal::Link &link, const std::string &frame)
+    void writeFrame(const internal::Link &link, const std::string &frame)
     {
         websocketpp::lib::error_code ec;
-        bytes += frame.size();
+        frameByteCount += frame.size();
         if (link.isOutgoing) {
             client.send(link.handle, frame, websocketpp::frame::opcode::binary, ec);
         } else {
@@ -256,7 +264,7 @@
         }
     }
 
-    [[nodiscard]] std::size_t buffered(const internal::Link &link)
+    [[nodiscard]] std::size_t bufferedBytes(const internal::Link &link)
     {
         websocketpp::lib::error_code ec;
         if (link.isOutgoing) {
@@ -270,7 +278,7 @@
     void ping(internal::Link &link, TimePoint now)
     {
         websocketpp::lib::error_code ec;
-        link.pingedAt = now;
+        link.lastPingAt = now;
         if (link.isOutgoing) {
             client.ping(link.handle, "", ec);
         } else {
@@ -284,9 +292,9 @@
     internal::Client client;
     LinkMap links;
     std::map<Address, TimePoint, internal::AddressLess> failedAt;
-    std::map<Handle, Address, std::owner_less<Handle>> incoming;
-    std::map<Handle, Address, std::owner_less<Handle>> outgoing;
-    std::uint64_t bytes = 0;
+    std::map<Handle, Address, std::owner_less<Handle>> incomingPeers;
+    std::map<Handle, Address, std::owner_less<Handle>> outgoingPeers;
+    std::uint64_t frameByteCount = 0;
 };
 
 PeerLinks::PeerLinks(boost::asio::io_context &context, Address self, LinkEvents &events)
@@ -327,13 +335,13 @@
     }
     auto &link = it->second;
     if (!link.isOpen) {
-        link.waiting.push_back(std::move(frame));
+        link.pendingFrames.push_back(std::move(frame));
         return true;
     }
-    if (m_impl->buffered(link) > kMaxBufferedBytes) {
+    if (m_impl->bufferedBytes(link) > kMaxBufferedBytes) {
         return false;
     }
-    m_impl->write(link, frame);
+    m_impl->writeFrame(link, frame);
     return true;
 }
 
@@ -347,9 +355,9 @@
 {
     if (const auto it = m_impl->links.find(peer); it != m_impl->links.end()) {
         const auto &link = it->second;
-        // A ping without an answer makes a peer suspect before its link is given up.
-        return !link.isOpen || link.pingedAt <= link.heardAt
-                || millisBetween(link.pingedAt, now) < kSilenceBeforePing;
+        // An overdue ping makes the peer unreachable before its link is closed.
+        return !link.isOpen || link.lastPingAt <= link.lastReceivedAt
+                || millisBetween(link.lastPingAt, now) < kSilenceBeforePing;
     }
     const auto it = m_impl->failedAt.find(peer);
     return it == m_impl->failedAt.end() || millisBetween(it->second, now) > kReopenPause;
@@ -362,46 +370,46 @@
 
 void PeerLinks::sweep(TimePoint now)
 {
-    std::vector<Address> dead;
+    std::vector<Address> unresponsive;
     for (auto &[peer, link] : m_impl->links) {
         if (!link.isOpen) {
-            if (millisBetween(link.openedOrAsked, now) > kOpenTimeout) {
-                dead.push_back(peer);
+            if (millisBetween(link.openingStartedAt, now) > kOpenTimeout) {
+                unresponsive.push_back(peer);
             }
             continue;
         }
-        const bool isPinged = link.pingedAt > link.heardAt;
+        const bool isPinged = link.lastPingAt > link.lastReceivedAt;
         if (!isPinged && !m_impl->events.isAwaiting(peer)) {
             continue;
         }
-        const auto silence = millisBetween(isPinged ? link.pingedAt : link.heardAt, now);
+        const auto silence = millisBetween(isPinged ? link.lastPingAt : link.lastReceivedAt, now);
         if (!isPinged && silence > kSilenceBeforePing) {
             m_impl->ping(link, now);
         } else if (isPinged && silence > kSilenceBeforeLoss - kSilenceBeforePing) {
-            dead.push_back(peer);
+            unresponsive.push_back(peer);
         }
     }
-    for (const auto &peer : dead) {
+    for (const auto &peer : unresponsive) {
         logEvent(LogLevel::Info, "links", "peer-silent", {{"peer", peer.text()}});
-        m_impl->abandon(peer);
+        m_impl->closeAbruptly(peer);
     }
 }
 
 std::uint64_t PeerLinks::frameBytes() const noexcept
 {
-    return m_impl->bytes;
+    return m_impl->frameByteCount;
 }
 
 void PeerLinks::close()
 {
     websocketpp::lib::error_code ignored;
     m_impl->server.stop_listening(ignored);
-    std::vector<Address> all;
+    std::vector<Address> peers;
     for (const auto &[peer, link] : m_impl->links) {
-        all.push_back(peer);
+        peers.push_back(peer);
     }
-    for (const auto &peer : all) {
-        m_impl->abandon(peer);
+    for (const auto &peer : peers) {
+        m_impl->closeAbruptly(peer);
     }
 }
 
--- a/src/celeryramp/links/peer_links.h
+++ b/src/celeryramp/links/peer_links.h
@@ -14,52 +14,59 @@
 
 namespace celeryramp::links {
 
-/*! Time a link may take to open before its frames are returned as not sent. */
+/*! Time limit for opening a link; its frames then count as not sent. */
 inline constexpr Millis kOpenTimeout{400};
-/*! Silence of a peer that owes an answer before it is asked whether it is there. */
+/*! Time without data from a peer with a pending response after which the peer is pinged. */
 inline constexpr Millis kSilenceBeforePing{400};
-/*! Silence of a peer that owes an answer before its link is given up. */
+/*! Time without data from a peer with a pending response after which its link is closed. */
 inline constexpr Millis kSilenceBeforeLoss{1500};
-/*! Pause after a failed opening before the peer is tried again. */
+/*! Delay after a link could not be opened or was unresponsive before the peer is tried again. */
 inline constexpr Millis kReopenPause{500};
-/*! Bytes that may wait for one slow peer; more are refused. */
+/*! Limit of unsent bytes for one peer; further frames are refused. */
 inline constexpr std::size_t kMaxBufferedBytes = 4 * 1024 * 1024;
 
-/*! @brief Links to the other nodes over websockets, at most one in use for each pair. */
+/*! @brief WebSocket links to other nodes, at most one in use per pair of nodes. */
 class PeerLinks
 {
 public:
-    /*! @param self Where this node listens; tells peers who calls. @param events Outlives this. */
+    /*!
+     * @param self Address on which this node listens and by which peers identify it.
+     * @param events Must outlive this object.
+     */
     PeerLinks(boost::asio::io_context &context, Address self, LinkEvents &events);
     ~PeerLinks();
     PeerLinks(const PeerLinks &) = delete;
     PeerLinks &operator=(const PeerLinks &) = delete;
 
-    /*! @return Nothing, or why the own address cannot be listened on. */
+    /*! @brief Starts to accept links. @return Nothing, or why the node cannot listen. */
     [[nodiscard]] Result<void, LinkError> listen();
 
     /*!
-     * @brief Sends a frame, opening a link when there is none.
-     * @return False when it was not taken: the peer cannot be reached or takes nothing more.
+     * @brief Sends a frame, or queues it while the link is being opened. Opens a link if none
+     * exists.
+     * @return False if the frame is refused: the peer is unreachable or its send buffer is full.
      */
     [[nodiscard]] bool send(const Address &peer, std::string frame, TimePoint now);
 
-    /*! @return True when a link is open. */
+    /*! @return True if a link to the peer is open. */
     [[nodiscard]] bool isOpen(const Address &peer) const;
 
-    /*! @return False shortly after a failed opening, and while a peer is silent too long. */
+    /*! @return False for `kReopenPause` after a failure, and while a ping is overdue. */
     [[nodiscard]] bool isReachable(const Address &peer, TimePoint now) const;
 
-    /*! @return True when the peer could not be reached the last time and no link is open since. */
+    /*!
+     * @return True if opening a link failed or a link was closed as unresponsive, and none has been
+     * opened since.
+     */
     [[nodiscard]] bool hasFailed(const Address &peer) const;
 
-    /*! @brief Asks silent peers, gives up dead links. */
+    /*! @brief Pings silent peers and closes unresponsive links; to be called periodically. */
     void sweep(TimePoint now);
 
-    /*! @return Bytes sent and received in frames so far. */
+    /*! @return Total payload bytes of frames sent and received. */
     [[nodiscard]] std::uint64_t frameBytes() const noexcept;
 
-    /*! @brief Ends all links and listens no longer. */
+    /*! @brief Closes all links and stops listening. */
     void close();
 
 private:
