--- a/src/celeryramp/gate/call_context.h
+++ b/src/celeryramp/gate/call_context.h
@@ -7,12 +7,12 @@
 
 namespace celeryramp {
 
-/*! @brief What a backend server's own call inherits from the call that caused it. */
+/*! @brief Data that a nested call inherits from the call whose execution makes it. */
 struct CallContext
 {
     std::string account;
     std::string keyId;
-    std::string chain; /*!< Identity of the outside call. */
+    std::string chain; /*!< Identity of the outside call that started the chain of calls. */
     std::uint32_t depth = 0;
     TimePoint deadline;
 };
--- a/src/celeryramp/gate/concurrency_ramp.h
+++ b/src/celeryramp/gate/concurrency_ramp.h
@@ -6,43 +6,48 @@
 
 namespace celeryramp {
 
-/*! @brief How one call to the backend server ended, as evidence. */
+/*! @brief Result of one call to the backend server, as evidence of the server's load. */
 enum class Evidence {
     InTarget, /*!< Answered within the latency target. */
-    Late, /*!< Answered, but late. */
-    Shed, /*!< The server refused for load. */
+    Late, /*!< Answered after the latency target. */
+    Shed, /*!< Refused by the server because of its load. */
     Failed /*!< No answer or a server error. */
 };
 
 /*!
- * @brief Concurrency that a backend server is given: starts small, grows by one at a time on
- * evidence, falls at once when the server turns cold or overloaded. Health endpoints are not
- * believed.
+ * @brief Adapts the concurrency limit of a backend server to its answers.
+ *
+ * The limit starts low, grows by one at a time after good answers and falls immediately when the
+ * server is overloaded or answers like a cold one. Health endpoints are not taken into account.
  */
 class ConcurrencyRamp
 {
 public:
-    /*! @param slots Requests the server runs at a time when warm; the limit never exceeds it. */
-    /*! @param isOn Whether the limit follows evidence; otherwise it is all slots at once. */
+    /*!
+     * @param slots Requests that the warm server runs concurrently; maximum of the limit.
+     * @param isOn Whether the limit adapts; if false, it is always equal to the slots.
+     */
     explicit ConcurrencyRamp(int slots, bool isOn = true);
 
-    /*! @brief The server may be cold: start over. */
+    /*! @brief Resets the limit to its initial value, since the server may be cold. */
     void reset(TimePoint now);
 
     /*!
-     * @brief Takes one finished call in.
-     * @param evidence How it ended. @param latency Time at the server.
-     * @param running Calls that ran beside it. @param now Present time.
+     * @brief Adjusts the limit after a call has finished.
+     * @param evidence Result of the call.
+     * @param latency Time that the call took at the server.
+     * @param running Number of active calls, including this one.
+     * @param now Current time.
      */
     void onFinished(Evidence evidence, Micros latency, int running, TimePoint now);
 
-    /*! @return Calls that may run at a time now; at least 1. */
+    /*! @return Number of calls that may run concurrently; at least 1. */
     [[nodiscard]] int limit() const noexcept { return static_cast<int>(m_limit); }
 
-    /*! @return Smoothed latency of good answers; zero before the first. */
+    /*! @return Smoothed latency of all answers, slow ones included; zero before the first. */
     [[nodiscard]] Micros baseline() const noexcept;
 
-    /*! @return How often the limit fell. */
+    /*! @return Number of times that the limit fell or was reset. */
     [[nodiscard]] std::uint64_t falls() const noexcept { return m_falls; }
 
 private:
@@ -53,9 +58,9 @@
     double m_slots;
     double m_limit;
     double m_baselineMicros = 0.0;
-    int m_slowInARow = 0;
+    int m_consecutiveSlowAnswers = 0;
     int m_goodAnswers = 0; /*!< Since the limit last changed. */
-    TimePoint m_lastChange;
+    TimePoint m_lastChangeAt;
     std::uint64_t m_falls = 0;
 };
 
--- a/src/celeryramp/gate/context_table.h
+++ b/src/celeryramp/gate/context_table.h
@@ -9,19 +9,19 @@
 
 namespace celeryramp {
 
-/*! @brief What happened within a context. */
+/*! @brief Summary of the nested calls that were made within a context. */
 struct ContextSummary
 {
     bool failedBelow
-            = false; /*!< A call made within it failed, and the mesh has dealt with that. */
-    Micros nested{0}; /*!< Time that calls made within it took; overlapping ones add up. */
+            = false; /*!< A nested call failed and the mesh has already handled the failure. */
+    Micros nested{0}; /*!< Sum of the durations of nested calls, also of overlapping ones. */
 };
 
 /*!
- * @brief Contexts of the calls under way at this node's backend server, by unguessable token.
+ * @brief Maps unguessable tokens to the contexts of calls that run at this node's backend server.
  *
- * A token lives as long as its call. Callers cannot forge one: the table is local and tokens are
- * taken from the loopback listener only. Safe to use from several threads.
+ * A token is valid as long as its call runs. Callers cannot forge a token, because the table is
+ * local and tokens are accepted on the loopback listener only. This class is thread-safe.
  */
 class ContextTable
 {
@@ -32,19 +32,19 @@
     /*! @return The context of a token, or nothing. */
     [[nodiscard]] std::optional<CallContext> find(const std::string &token) const;
 
-    /*! @brief A call made within the context failed, and the mesh has dealt with that. */
+    /*! @brief Records that a nested call failed and that the mesh has handled the failure. */
     void noteFailure(const std::string &token);
 
-    /*! @brief A call made within the context begins: the server now waits for it. */
+    /*! @brief Records the start of a nested call, for which the server now waits. */
     void beginNested(const std::string &token);
 
-    /*! @brief A call made within the context ended after this long. */
+    /*! @brief Records the end of a nested call and its duration. */
     void endNested(const std::string &token, Micros time);
 
-    /*! @return Number of contexts whose server waits for a call of its own. */
+    /*! @return Number of contexts with at least one nested call in flight. */
     [[nodiscard]] int waiting() const;
 
-    /*! @brief Ends a context; its token is worthless from now on. @return What happened within. */
+    /*! @brief Closes a context and invalidates its token. @return Summary of its nested calls. */
     ContextSummary close(const std::string &token);
 
     /*! @return Number of open contexts. */
@@ -55,7 +55,7 @@
     {
         CallContext context;
         ContextSummary summary;
-        int nested = 0; /*!< Calls within it that are under way. */
+        int nested = 0; /*!< Nested calls in flight. */
     };
 
     mutable std::mutex m_mutex;
--- a/src/celeryramp/gate/crash_watch.cpp
+++ b/src/celeryramp/gate/crash_watch.cpp
@@ -4,19 +4,19 @@
 
 namespace internal {
 
-constexpr std::size_t kAnsweredKept = 8192;
+constexpr std::size_t kMaxAnsweredDigests = 8192;
 constexpr std::size_t kCrashesToQuarantine = 2;
 
 [[nodiscard]] std::set<std::string> digestsWithCrashes(const RumourStore &rumours,
-                                                       std::size_t least)
+                                                       std::size_t minCrashes)
 {
     std::map<std::string, std::size_t> counts;
     for (const auto &[subject, sequence] : rumours.withPrefix(RumourKind::Crash, "")) {
         ++counts[subject.substr(0, subject.find(' '))];
     }
     std::set<std::string> digests;
-    for (const auto &[digest, n] : counts) {
-        if (n >= least) {
+    for (const auto &[digest, count] : counts) {
+        if (count >= minCrashes) {
             digests.insert(digest);
         }
     }
@@ -27,13 +27,13 @@
 
 void CrashWatch::onAnswered(const std::string &digest)
 {
-    if (!m_answered.insert(digest).second) {
+    if (!m_answeredDigests.insert(digest).second) {
         return;
     }
-    m_order.push_back(digest);
-    if (m_order.size() > internal::kAnsweredKept) {
-        m_answered.erase(m_order.front());
-        m_order.pop_front();
+    m_answeredOrder.push_back(digest);
+    if (m_answeredOrder.size() > internal::kMaxAnsweredDigests) {
+        m_answeredDigests.erase(m_answeredOrder.front());
+        m_answeredOrder.pop_front();
     }
 }
 
@@ -42,7 +42,7 @@
 {
     std::vector<Rumour> rumours;
     for (const auto &digest : digests) {
-        if (m_answered.count(digest) == 0) {
+        if (m_answeredDigests.count(digest) == 0) {
             rumours.push_back({RumourKind::Crash, digest + " " + m_server, sequence,
                                static_cast<std::uint32_t>(kCrashMemory.count())});
         }
--- a/src/celeryramp/gate/crash_watch.h
+++ b/src/celeryramp/gate/crash_watch.h
@@ -11,15 +11,16 @@
 
 namespace celeryramp {
 
-/*! @brief How long a crash counts against the requests that were in flight. */
+/*! @brief Time for which a crash counts against the requests that were in flight. */
 inline constexpr Millis kCrashMemory{300'000};
 
 /*!
- * @brief Finds requests that crash the servers that run them.
+ * @brief Detects requests that crash the servers which run them.
  *
- * A digest in flight on one crashed server is suspect: it is not repeated by the mesh. In flight on
- * two, it is quarantined everywhere for a time. A digest that was answered here before is no
- * suspect, so that servers dying of other causes do not quarantine common requests.
+ * A request digest that was in flight on one crashed server is suspect, and the mesh does not retry
+ * it. If it was in flight on two different ones, all nodes quarantine it for a limited time. A
+ * digest that this server has answered before is not reported, so that common requests are not
+ * quarantined when servers crash for other reasons.
  */
 class CrashWatch
 {
@@ -27,30 +28,31 @@
     /*! @param server Name of the server beside this node. */
     explicit CrashWatch(std::string server) : m_server{std::move(server)} { }
 
-    /*! @brief A request was answered; it does not crash servers. */
+    /*! @brief Records that a request was answered, so it is not suspected in later crashes. */
     void onAnswered(const std::string &digest);
 
     /*!
-     * @brief The server died with these requests in flight.
-     * @param sequence Rises with each crash of this server.
-     * @return Facts for all nodes.
+     * @brief Reports a crash of the server with the requests that were in flight.
+     * @param digests Digests of the requests.
+     * @param sequence Sequence number that increases with each crash of this server.
+     * @return Rumours to be sent to all nodes.
      */
     [[nodiscard]] std::vector<Rumour> onCrash(const std::vector<std::string> &digests,
                                               std::uint64_t sequence) const;
 
 private:
     std::string m_server;
-    std::set<std::string> m_answered;
-    std::deque<std::string> m_order;
+    std::set<std::string> m_answeredDigests;
+    std::deque<std::string> m_answeredOrder;
 };
 
 /*! @return Number of different servers that crashed with the digest in flight. */
 [[nodiscard]] std::size_t crashCount(const RumourStore &rumours, const std::string &digest);
 
-/*! @return All digests in flight on at least two servers that crashed. */
+/*! @return All digests that were in flight on at least two crashed servers. */
 [[nodiscard]] std::set<std::string> quarantinedDigests(const RumourStore &rumours);
 
-/*! @return All digests in flight on at least one server that crashed. */
+/*! @return All digests that were in flight on at least one crashed server. */
 [[nodiscard]] std::set<std::string> suspectDigests(const RumourStore &rumours);
 
 } // namespace celeryramp
--- a/src/celeryramp/gate/fair_queue.cpp
+++ b/src/celeryramp/gate/fair_queue.cpp
@@ -7,82 +7,82 @@
 std::optional<QueuedCall> FairQueue::push(QueuedCall call)
 {
     if (!m_isFair) {
-        call.dueAt = call.arrivedAt; // one line in order of arrival
+        call.dueAt = call.arrivedAt; // A single queue in order of arrival.
     }
     const auto account = m_isFair ? call.call.account : std::string{};
-    auto &line = m_lines[account];
-    if (line.empty()) {
-        m_turns.push_back(account);
+    auto &queue = m_queues[account];
+    if (queue.empty()) {
+        m_roundRobin.push_back(account);
     }
-    const auto place = std::upper_bound(
-            line.begin(), line.end(), call,
+    const auto position = std::upper_bound(
+            queue.begin(), queue.end(), call,
             [](const QueuedCall &a, const QueuedCall &b) { return a.dueAt > b.dueAt; });
-    line.insert(place, std::move(call));
+    queue.insert(position, std::move(call));
     ++m_size;
     if (m_size <= m_capacity) {
         return std::nullopt;
     }
-    const auto largest = longest();
-    std::optional<QueuedCall> loser{std::move(largest->second.front())};
-    largest->second.erase(largest->second.begin());
+    const auto longest = longestQueue();
+    std::optional<QueuedCall> evicted{std::move(longest->second.front())};
+    longest->second.erase(longest->second.begin());
     --m_size;
-    dropIfEmpty(largest->first);
-    return loser;
+    removeIfEmpty(longest->first);
+    return evicted;
 }
 
 std::optional<QueuedCall> FairQueue::pop()
 {
-    if (m_turns.empty()) {
+    if (m_roundRobin.empty()) {
         return std::nullopt;
     }
-    const auto account = m_turns.front();
-    m_turns.pop_front();
-    auto &line = m_lines[account];
-    std::optional<QueuedCall> call{std::move(line.back())};
-    line.pop_back();
+    const auto account = m_roundRobin.front();
+    m_roundRobin.pop_front();
+    auto &queue = m_queues[account];
+    std::optional<QueuedCall> call{std::move(queue.back())};
+    queue.pop_back();
     --m_size;
-    if (line.empty()) {
-        m_lines.erase(account);
+    if (queue.empty()) {
+        m_queues.erase(account);
     } else {
-        m_turns.push_back(account);
+        m_roundRobin.push_back(account);
     }
     return call;
 }
 
 std::optional<QueuedCall> FairQueue::remove(std::uint64_t id, ReplyPath replyPath)
 {
-    for (auto &[account, line] : m_lines) {
-        const auto it = std::find_if(line.begin(), line.end(), [&](const QueuedCall &queued) {
+    for (auto &[account, queue] : m_queues) {
+        const auto it = std::find_if(queue.begin(), queue.end(), [&](const QueuedCall &queued) {
             return queued.call.id == id && queued.replyPath == replyPath;
         });
-        if (it == line.end()) {
+        if (it == queue.end()) {
             continue;
         }
         std::optional<QueuedCall> found{std::move(*it)};
-        line.erase(it);
+        queue.erase(it);
         --m_size;
-        dropIfEmpty(std::string{account});
+        removeIfEmpty(std::string{account});
         return found;
     }
     return std::nullopt;
 }
 
-std::vector<QueuedCall> FairQueue::takeOverdue(TimePoint now)
+std::vector<QueuedCall> FairQueue::removeOverdue(TimePoint now)
 {
     std::vector<QueuedCall> overdue;
-    std::vector<std::string> touched;
-    for (auto &[account, line] : m_lines) {
-        const auto first
-                = std::stable_partition(line.begin(), line.end(), [&](const QueuedCall &queued) {
+    std::vector<std::string> accounts;
+    for (auto &[account, queue] : m_queues) {
+        const auto firstOverdue
+                = std::stable_partition(queue.begin(), queue.end(), [&](const QueuedCall &queued) {
                       return queued.deadline > now;
                   });
-        std::move(first, line.end(), std::back_inserter(overdue));
-        m_size -= static_cast<std::size_t>(std::distance(first, line.end()));
-        line.erase(first, line.end());
-        touched.push_back(account);
+        std::move(firstOverdue, queue.end(), std::back_inserter(overdue));
+        m_size -= static_cast<std::size_t>(std::distance(firstOverdue, queue.end()));
+        queue.erase(firstOverdue, queue.end());
+        accounts.push_back(account);
     }
-    for (const auto &account : touched) {
-        dropIfEmpty(account);
+    for (const auto &account : accounts) {
+        removeIfEmpty(account);
     }
     return overdue;
 }
@@ -96,21 +96,21 @@
     return calls;
 }
 
-std::map<std::string, FairQueue::Line>::iterator FairQueue::longest()
+std::map<std::string, FairQueue::AccountQueue>::iterator FairQueue::longestQueue()
 {
-    return std::max_element(m_lines.begin(), m_lines.end(), [](const auto &a, const auto &b) {
+    return std::max_element(m_queues.begin(), m_queues.end(), [](const auto &a, const auto &b) {
         return a.second.size() < b.second.size();
     });
 }
 
-void FairQueue::dropIfEmpty(const std::string &account)
+void FairQueue::removeIfEmpty(const std::string &account)
 {
-    const auto it = m_lines.find(account);
-    if (it == m_lines.end() || !it->second.empty()) {
+    const auto it = m_queues.find(account);
+    if (it == m_queues.end() || !it->second.empty()) {
         return;
     }
-    m_turns.erase(std::find(m_turns.begin(), m_turns.end(), account));
-    m_lines.erase(it);
+    m_roundRobin.erase(std::find(m_roundRobin.begin(), m_roundRobin.end(), account));
+    m_queues.erase(it);
 }
 
 } // namespace celeryramp
--- a/src/celeryramp/gate/fair_queue.h
+++ b/src/celeryramp/gate/fair_queue.h
@@ -12,53 +12,55 @@
 namespace celeryramp {
 
 /*!
- * @brief Bounded queue, fair over client accounts first and urgent classes second.
+ * @brief Bounded queue that is fair between client accounts.
  *
- * Accounts take turns; within an account the call whose target is due first goes first. When the
- * queue is full, the account with most calls waiting loses its least urgent one, so that a flood
- * costs itself first.
+ * Accounts are served round-robin. Within an account, the call with the earliest `dueAt` comes
+ * first. If the queue is full, the account with the most queued calls loses its least urgent one,
+ * so that an account that floods the queue loses its own calls first.
  */
 class FairQueue
 {
 public:
-    /*! @param capacity Calls held at most over all accounts. */
-    /*! @param isFair Whether accounts take turns; otherwise first come first served. */
+    /*!
+     * @param capacity Maximum number of calls over all accounts.
+     * @param isFair Whether accounts are served round-robin; if false, calls are served in order of
+     * arrival.
+     */
     explicit FairQueue(std::size_t capacity, bool isFair = true)
         : m_capacity{capacity}, m_isFair{isFair}
     { }
 
     /*!
      * @brief Adds a call.
-     * @return The call that has no place: the given one or one of the largest account; nothing
-     * when all fit.
+     * @return The call that was evicted, which may be the new one; nothing if there was space.
      */
     [[nodiscard]] std::optional<QueuedCall> push(QueuedCall call);
 
-    /*! @return The next call in turn, or nothing when empty. */
+    /*! @brief Removes the next call. @return The call; nothing if the queue is empty. */
     [[nodiscard]] std::optional<QueuedCall> pop();
 
-    /*! @return The call with this identity and way back, taken out; nothing when not there. */
+    /*! @brief Removes a queued call. @return The call; nothing if it is not queued. */
     [[nodiscard]] std::optional<QueuedCall> remove(std::uint64_t id, ReplyPath replyPath);
 
-    /*! @return All calls whose deadline has passed, taken out. */
-    [[nodiscard]] std::vector<QueuedCall> takeOverdue(TimePoint now);
+    /*! @brief Removes all calls whose deadline has passed. @return The removed calls. */
+    [[nodiscard]] std::vector<QueuedCall> removeOverdue(TimePoint now);
 
-    /*! @return All calls, taken out. */
+    /*! @brief Removes all calls. @return The removed calls in the order of `pop`. */
     [[nodiscard]] std::vector<QueuedCall> takeAll();
 
     [[nodiscard]] std::size_t size() const noexcept { return m_size; }
 
 private:
-    using Line = std::vector<QueuedCall>; /*!< Sorted: most urgent last. */
+    using AccountQueue = std::vector<QueuedCall>; /*!< Sorted by urgency, most urgent last. */
 
-    [[nodiscard]] std::map<std::string, Line>::iterator longest();
-    void dropIfEmpty(const std::string &account);
+    [[nodiscard]] std::map<std::string, AccountQueue>::iterator longestQueue();
+    void removeIfEmpty(const std::string &account);
 
     std::size_t m_capacity;
     bool m_isFair;
     std::size_t m_size = 0;
-    std::map<std::string, Line> m_lines;
-    std::deque<std::string> m_turns;
+    std::map<std::string, AccountQueue> m_queues;
+    std::deque<std::string> m_roundRobin;
 };
 
 } // namespace celeryramp
--- a/src/celeryramp/gate/fwd.h
+++ b/src/celeryramp/gate/fwd.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the gate module: everything that decides whether a call reaches the
- *  backend server beside this node.
+ *  Forward declarations of the gate module, which decides whether a call reaches the backend server
+ *  beside this node.
  */
 
 namespace celeryramp {
--- a/src/celeryramp/gate/gate.cpp
+++ b/src/celeryramp/gate/gate.cpp
@@ -6,7 +6,7 @@
 
 namespace internal {
 
-constexpr int kNestedPart = 4; /*!< One in so many of the limit is kept for nested calls. */
+constexpr int kNestedLimitDivisor = 4; // This fraction of the limit is reserved for nested calls.
 
 } // namespace internal
 
@@ -20,17 +20,17 @@
 {
     std::vector<Refusal> refusals;
     ++m_counters.offered;
-    auto reason = m_draining ? Reason::Draining : obstacle(call, around, now);
-    const auto active = m_running - around.waiting;
-    const bool busy
-            = !canMeetDeadline(call, now) || mustWait(call, active) || isStandstill(call, active);
-    if (reason == Reason::None && busy) {
+    auto reason = m_draining ? Reason::Draining : refusalReason(call, around, now);
+    const auto activeCalls = m_running - around.waiting;
+    const bool isBusy = !canMeetDeadline(call, now) || mustTryOtherGate(call, activeCalls)
+            || wouldDeadlock(call, activeCalls);
+    if (reason == Reason::None && isBusy) {
         reason = Reason::Busy;
     }
     if (reason != Reason::None) {
         refusals.push_back({std::move(call), reason});
-    } else if (auto loser = (call.call.depth > 0 ? m_nested : m_outside).push(std::move(call))) {
-        refusals.push_back({std::move(*loser), Reason::QueueFull});
+    } else if (auto evicted = (call.call.depth > 0 ? m_nested : m_outside).push(std::move(call))) {
+        refusals.push_back({std::move(*evicted), Reason::QueueFull});
     }
     m_counters.refused += refusals.size();
     return refusals;
@@ -40,18 +40,18 @@
                                      std::vector<Refusal> &refusals)
 {
     for (auto *queue : {&m_nested, &m_outside}) {
-        for (auto &overdue : queue->takeOverdue(now)) {
+        for (auto &overdue : queue->removeOverdue(now)) {
             refusals.push_back({std::move(overdue), Reason::TooLate});
             ++m_counters.refused;
         }
     }
-    const auto active = m_running - around.waiting;
-    while (m_running < m_slots && active < m_ramp.limit()) {
-        auto call = popNext(active);
+    const auto activeCalls = m_running - around.waiting;
+    while (m_running < m_slots && activeCalls < m_ramp.limit()) {
+        auto call = popNext(activeCalls);
         if (!call) {
             return std::nullopt;
         }
-        const auto reason = obstacle(*call, around, now);
+        const auto reason = refusalReason(*call, around, now);
         if (reason == Reason::None) {
             ++m_running;
             ++m_counters.started;
@@ -90,7 +90,8 @@
             static_cast<std::uint32_t>(m_ramp.limit())};
 }
 
-Reason Gate::obstacle(const QueuedCall &call, const GateSurroundings &around, TimePoint now) const
+Reason Gate::refusalReason(const QueuedCall &call, const GateSurroundings &around,
+                           TimePoint now) const
 {
     if (around.snapshot == nullptr) {
         return Reason::NotReady;
@@ -119,36 +120,36 @@
     return Reason::None;
 }
 
-std::optional<QueuedCall> Gate::popNext(int active)
+std::optional<QueuedCall> Gate::popNext(int activeCalls)
 {
     if (auto call = m_nested.pop()) {
         return call;
     }
-    return active < outsideLimit() ? m_outside.pop() : std::nullopt;
+    return activeCalls < outsideLimit() ? m_outside.pop() : std::nullopt;
 }
 
 int Gate::outsideLimit() const noexcept
 {
-    return m_ramp.limit() - m_ramp.limit() / internal::kNestedPart;
+    return m_ramp.limit() - m_ramp.limit() / internal::kNestedLimitDivisor;
 }
 
-bool Gate::mustWait(const QueuedCall &call, int active) const noexcept
+bool Gate::mustTryOtherGate(const QueuedCall &call, int activeCalls) const noexcept
 {
-    const auto room = call.call.depth > 0 ? m_ramp.limit() : outsideLimit();
+    const auto limit = call.call.depth > 0 ? m_ramp.limit() : outsideLimit();
     const auto queued = static_cast<int>(waiting());
-    const bool full = active + queued >= room || m_running + queued >= m_slots;
-    return !call.call.mayQueue && full;
+    const bool isFull = activeCalls + queued >= limit || m_running + queued >= m_slots;
+    return !call.call.mayQueue && isFull;
 }
 
-bool Gate::isStandstill(const QueuedCall &call, int active) const noexcept
+bool Gate::wouldDeadlock(const QueuedCall &call, int activeCalls) const noexcept
 {
-    return call.call.depth > 0 && active <= 0 && m_running >= m_slots;
+    return call.call.depth > 0 && activeCalls <= 0 && m_running >= m_slots;
 }
 
 bool Gate::canMeetDeadline(const QueuedCall &call, TimePoint now) const
 {
-    const auto ahead = static_cast<int>(waiting()) + m_running;
-    const auto wait = m_ramp.baseline() * ahead / std::max(1, m_ramp.limit());
+    const auto callsAhead = static_cast<int>(waiting()) + m_running;
+    const auto wait = m_ramp.baseline() * callsAhead / std::max(1, m_ramp.limit());
     return now + wait < call.deadline;
 }
 
--- a/src/celeryramp/gate/gate.h
+++ b/src/celeryramp/gate/gate.h
@@ -18,7 +18,7 @@
 
 namespace celeryramp {
 
-/*! @brief A call that the gate refuses; it was not run and never will be. */
+/*! @brief A call that the gate refused without running it. */
 struct Refusal
 {
     QueuedCall call;
@@ -34,60 +34,77 @@
     std::uint64_t cancelled = 0;
 };
 
-/*! @brief What the gate needs to know of its surroundings at each decision. */
+/*! @brief State outside the gate that each of its decisions depends on. */
 struct GateSurroundings
 {
     const Snapshot *snapshot = nullptr; /*!< Null before the first configuration. */
-    bool leaving = false; /*!< The server is listed as leaving. */
-    const std::set<std::string> *quarantined = nullptr; /*!< Digests not to be run. */
-    int waiting = 0; /*!< Running calls whose server waits for calls of its own. */
+    bool leaving = false; /*!< The platform lists the server as leaving. */
+    const std::set<std::string> *quarantined
+            = nullptr; /*!< Digests that must not run; may be null. */
+    int waiting = 0; /*!< Running calls that wait for nested calls. */
 };
 
 /*!
- * @brief The only way into one backend server.
+ * @brief Admission control in front of one backend server.
  *
- * All work passes here, so concurrency, ramp, drain, keys and zone status are local facts. Keys and
- * zone status are checked again when a call leaves the queue. Nested calls go before outside ones
- * and have a part of the concurrency to themselves, since each holds up a slot of its caller. A
- * running call whose server waits for a call of its own holds a slot but no part of the limit, and
- * when such calls hold all slots nested ones are refused at once, so that chains do not stand still
- * waiting for one another.
- * Decides only; the duties around it carry calls and answers.
+ * All calls to the server pass through its gate, so concurrency, ramp, draining, keys and zone
+ * status are checked with local data. Keys and zone status are checked again when a call leaves the
+ * queue.
+ *
+ * Nested calls have priority over outside calls and a reserved part of the limit, because each one
+ * occupies a slot of its caller. A running call that waits for a nested call occupies a slot but
+ * does not count towards the limit. If such calls occupy all slots, further nested calls are
+ * refused immediately, so that chains of calls do not deadlock by waiting for one another.
+ *
+ * The gate only makes decisions; its users transfer the calls and answers.
  */
 class Gate
 {
 public:
     /*!
-     * @param server Name of the server behind this gate. @param slots Its slots.
-     * @param queueCapacity Calls that may wait.
-     * @param mechanisms What is switched on.
+     * @param server Name of the server behind this gate.
+     * @param slots Number of calls that the server can run concurrently.
+     * @param queueCapacity Maximum number of queued calls, for nested and outside calls each.
+     * @param mechanisms Mechanisms that are enabled.
      */
     Gate(std::string server, int slots, std::size_t queueCapacity, Mechanisms mechanisms = {});
 
-    /*! @brief A call arrived. @return Calls refused by this: the new one or one it displaced. */
+    /*!
+     * @brief Queues a call that arrived, or refuses it.
+     * @return Refused calls: the new one or one that it evicted from the queue.
+     */
     [[nodiscard]] std::vector<Refusal> offer(QueuedCall call, const GateSurroundings &around,
                                              TimePoint now);
 
     /*!
-     * @brief Takes the next call to run, if one may run now.
-     * @param refusals Gets the calls found not to be run on the way.
+     * @brief Removes the next call to run from the queue.
+     * @param around Current state outside the gate.
+     * @param now Current time.
+     * @param refusals Receives the queued calls that are refused in the process.
+     * @return The call to run; nothing if none may run now.
      */
     [[nodiscard]] std::optional<QueuedCall> next(const GateSurroundings &around, TimePoint now,
                                                  std::vector<Refusal> &refusals);
 
-    /*! @brief A call that `next` gave out has ended. */
+    /*!
+     * @brief Records the end of a call that `next` returned.
+     * @param evidence Result of the call.
+     * @param latency Time that the call took at the server.
+     * @param waiting Running calls that wait for nested calls.
+     * @param now Current time.
+     */
     void finished(Evidence evidence, Micros latency, int waiting, TimePoint now);
 
-    /*! @return The call, when it was still waiting and will now never run. */
+    /*! @brief Cancels a queued call. @return The call; nothing if it was not queued. */
     [[nodiscard]] std::optional<QueuedCall> cancel(std::uint64_t id, ReplyPath replyPath);
 
-    /*! @brief Refuses all new work from now on; calls that wait are still run. */
+    /*! @brief Refuses all new calls from now on; queued calls still run. */
     void drain() noexcept { m_draining = true; }
 
-    /*! @brief The server restarted or crashed: start small again. */
+    /*! @brief Resets the concurrency limit after the server restarted or crashed. */
     void serverLost(TimePoint now);
 
-    /*! @return True when nothing waits and nothing runs. */
+    /*! @return True if no call is queued or running. */
     [[nodiscard]] bool isIdle() const noexcept { return waiting() == 0 && m_running == 0; }
 
     [[nodiscard]] GateLoad load() const noexcept;
@@ -95,26 +112,27 @@
     [[nodiscard]] const ConcurrencyRamp &ramp() const noexcept { return m_ramp; }
 
 private:
-    /*! @return Why the call may not run now, or `None`. */
-    [[nodiscard]] Reason obstacle(const QueuedCall &call, const GateSurroundings &around,
-                                  TimePoint now) const;
+    /*! @return Reason why the call may not run now, or `None`. */
+    [[nodiscard]] Reason refusalReason(const QueuedCall &call, const GateSurroundings &around,
+                                       TimePoint now) const;
     [[nodiscard]] std::size_t waiting() const noexcept
     {
         return m_nested.size() + m_outside.size();
     }
-    [[nodiscard]] std::optional<QueuedCall> popNext(int active);
+    [[nodiscard]] std::optional<QueuedCall> popNext(int activeCalls);
     [[nodiscard]] int outsideLimit() const noexcept;
-    /*! @return True when the call would wait here though it should rather try another gate. */
-    [[nodiscard]] bool mustWait(const QueuedCall &call, int active) const noexcept;
-    /*! @return True when only calls that wait for others could make room for a nested one. */
-    [[nodiscard]] bool isStandstill(const QueuedCall &call, int active) const noexcept;
+    /*! @return True if the call would have to wait here and its sender does not allow queueing. */
+    [[nodiscard]] bool mustTryOtherGate(const QueuedCall &call, int activeCalls) const noexcept;
+    /*! @return True if the call is nested and all slots are held by calls that wait for nested
+     * ones. */
+    [[nodiscard]] bool wouldDeadlock(const QueuedCall &call, int activeCalls) const noexcept;
     [[nodiscard]] bool canMeetDeadline(const QueuedCall &call, TimePoint now) const;
 
     std::string m_server;
     Mechanisms m_mechanisms;
     int m_slots = 0;
     ConcurrencyRamp m_ramp;
-    FairQueue m_nested; /*!< Calls of other backend servers, whose slots wait for them. */
+    FairQueue m_nested; /*!< Calls made by other backend servers while they run a call. */
     FairQueue m_outside;
     GateCounters m_counters;
     int m_running = 0;
--- a/src/celeryramp/gate/ledger_home.cpp
+++ b/src/celeryramp/gate/ledger_home.cpp
@@ -36,7 +36,7 @@
 void LedgerHome::onSnapshot(SnapshotPtr snapshot, TimePoint now)
 {
     if (m_snapshot && !internal::sameServers(*m_snapshot, *snapshot)) {
-        m_eras.push_back({m_snapshot, now});
+        m_pastConfigurations.push_back({m_snapshot, now});
     }
     m_snapshot = std::move(snapshot);
 }
@@ -62,7 +62,7 @@
     Entry entry{{message.key, message.digest, message.attempt, RecordState::Reserved, 0, {}, {}, 0},
                 now + m_settings.retention};
     m_records[message.key] = std::move(entry);
-    reply.vote = vouchesFor(message.key, now) ? Vote::Granted : Vote::Abstained;
+    reply.vote = canVote(message.key, now) ? Vote::Granted : Vote::Abstained;
     return reply;
 }
 
@@ -87,10 +87,10 @@
 {
     RecordsMessage reply{m_self, isComplete(now), {}};
     for (const auto &[key, entry] : m_records) {
-        const auto left = millisBetween(now, entry.expiresAt).count();
-        if (left > 0) {
+        const auto remaining = millisBetween(now, entry.expiresAt).count();
+        if (remaining > 0) {
             reply.records.push_back(entry.record);
-            reply.records.back().ttlMs = static_cast<std::uint32_t>(left);
+            reply.records.back().ttlMs = static_cast<std::uint32_t>(remaining);
         }
     }
     return reply;
@@ -135,8 +135,9 @@
     for (auto it = m_records.begin(); it != m_records.end();) {
         it = it->second.expiresAt <= now ? m_records.erase(it) : std::next(it);
     }
-    while (!m_eras.empty() && m_eras.front().endedAt + m_settings.retention <= now) {
-        m_eras.pop_front();
+    while (!m_pastConfigurations.empty()
+           && m_pastConfigurations.front().endedAt + m_settings.retention <= now) {
+        m_pastConfigurations.pop_front();
     }
 }
 
@@ -145,7 +146,7 @@
     if (m_settings.firstStart || now >= m_startedAt + m_settings.retention) {
         return true;
     }
-    if (!m_snapshot || now < m_startedAt + kVouchDelay) {
+    if (!m_snapshot || now < m_startedAt + kVoteDelay) {
         return false;
     }
     const auto &servers = m_snapshot->model().servers;
@@ -154,7 +155,7 @@
     });
 }
 
-bool LedgerHome::vouchesFor(const std::string &key, TimePoint now) const
+bool LedgerHome::canVote(const std::string &key, TimePoint now) const
 {
     if (!m_snapshot || !internal::isHome(*m_snapshot, key, m_self)
         || !wasHomeThroughout(key, now)) {
@@ -163,7 +164,7 @@
     if (isComplete(now)) {
         return true;
     }
-    if (now < m_startedAt + kVouchDelay) {
+    if (now < m_startedAt + kVoteDelay) {
         return false;
     }
     const auto homes = ledgerHomes(*m_snapshot, key);
@@ -174,19 +175,20 @@
 
 bool LedgerHome::wasHomeThroughout(const std::string &key, TimePoint now) const
 {
-    return std::all_of(m_eras.begin(), m_eras.end(), [&](const Era &era) {
-        return era.endedAt + m_settings.retention <= now
-                || internal::isHome(*era.snapshot, key, m_self);
-    });
+    return std::all_of(m_pastConfigurations.begin(), m_pastConfigurations.end(),
+                       [&](const PastConfiguration &past) {
+                           return past.endedAt + m_settings.retention <= now
+                                   || internal::isHome(*past.snapshot, key, m_self);
+                       });
 }
 
 void LedgerHome::merge(const LedgerRecord &record, TimePoint now)
 {
     const auto it = m_records.find(record.key);
-    const bool isKnown = it != m_records.end() && it->second.expiresAt > now;
-    const bool better = isKnown && it->second.record.state == RecordState::Reserved
+    const bool exists = it != m_records.end() && it->second.expiresAt > now;
+    const bool isCompletion = exists && it->second.record.state == RecordState::Reserved
             && record.state == RecordState::Done;
-    if (!isKnown || better) {
+    if (!exists || isCompletion) {
         m_records[record.key] = {record, now + Millis{record.ttlMs}};
     }
 }
--- a/src/celeryramp/gate/ledger_home.h
+++ b/src/celeryramp/gate/ledger_home.h
@@ -11,28 +11,32 @@
 
 namespace celeryramp {
 
-/*! @brief A reservation whose votes take longer than this is given up. */
+/*! @brief Time after which a reservation without a quorum of votes fails. */
 inline constexpr Millis kReservationTimeout{1000};
-/*! @brief A new incarnation asks for records no earlier than this after its start. */
+/*! @brief Time from the start of a new incarnation until it requests records from other homes. */
 inline constexpr Millis kRecoveryDelay{kReservationTimeout + Millis{100}};
-/*! @brief A new incarnation vouches for nothing before this. */
-inline constexpr Millis kVouchDelay{2 * kReservationTimeout + Millis{100}};
+/*! @brief Minimum time from the start of a new incarnation until it grants a reservation. */
+inline constexpr Millis kVoteDelay{2 * kReservationTimeout + Millis{100}};
 
 /*! @brief Settings of a ledger home. */
 struct LedgerSettings
 {
-    Millis retention{300'000}; /*!< How long a re-send is recognized; equal on all nodes. */
-    bool firstStart = false; /*!< The whole fleet starts for the first time: nothing can be lost. */
+    Millis retention{300'000}; /*!< Time for which a repeated request is recognized; must be the
+                                  same on all nodes. */
+    bool firstStart = false; /*!< All nodes start for the first time, so no records can be lost. */
 };
 
 /*!
- * @brief Keeps records of at-most-once requests at one of their homes.
+ * @brief Replica of the ledger that records at-most-once requests.
  *
- * A key has five homes spread over the zones; an attempt may run when more than half grant it. Any
- * two such majorities meet in a home that knows the first. A home that may have lost records, being
- * a new incarnation or a home only since a recent configuration change, records but abstains, until
- * it has every record from the other homes or the retention has passed. When too many homes abstain
- * or are out of reach the attempt is refused as not run: it is never guessed towards running twice.
+ * Each key has up to five homes, the replicas that store its record, spread over the zones. An
+ * attempt may run if more than half of them grant it. Any two such majorities share a home, which
+ * knows the earlier attempt.
+ *
+ * A home may lack records if it is a new incarnation or became a home only by a recent
+ * configuration change. It then stores reservations but abstains from voting until it has all
+ * records from the other homes or the retention has passed. If too many homes abstain or are
+ * unreachable, the attempt is refused as not run, so that a request never runs twice.
  */
 class LedgerHome
 {
@@ -40,32 +44,32 @@
     /*! @param self Name of this node's server. @param startedAt Start of this incarnation. */
     LedgerHome(std::string self, LedgerSettings settings, TimePoint startedAt);
 
-    /*! @brief A configuration came in force; homes may have moved. */
+    /*! @brief Applies a new configuration, which may assign keys to other homes. */
     void onSnapshot(SnapshotPtr snapshot, TimePoint now);
 
-    /*! @return This home's vote. */
+    /*! @brief Stores a reservation unless another attempt holds the key. @return This home's vote.
+     */
     [[nodiscard]] VoteMessage onReserve(const ReserveMessage &message, TimePoint now);
 
-    /*! @brief An attempt ended, or its reservation is released. */
+    /*! @brief Stores the result of an attempt that ended, or releases its reservation. */
     void onComplete(const CompleteMessage &message, TimePoint now);
 
-    /*! @return All records, and whether this home vouches for having them all. */
+    /*! @return All unexpired records, and whether they are complete. */
     [[nodiscard]] RecordsMessage onRecover(TimePoint now) const;
 
-    /*! @brief Another home sent its records. */
+    /*! @brief Merges the records that another home sent. */
     void onRecords(const RecordsMessage &message, TimePoint now);
 
-    /*! @brief The process was paused for long: what it heard may be incomplete. */
+    /*! @brief Starts recovery anew after a long pause, in which messages may have been missed. */
     void onPause(TimePoint now);
 
-    /*! @return Servers whose records this incarnation still wants; empty before it is time to ask.
-     */
+    /*! @return Servers whose records are still missing; empty before `kRecoveryDelay`. */
     [[nodiscard]] std::vector<std::string> wantedRecords(TimePoint now) const;
 
-    /*! @brief Forgets records past the retention. */
+    /*! @brief Removes expired records. */
     void tick(TimePoint now);
 
-    /*! @return True when every record this home should have is here. */
+    /*! @return True if this home has all records that it should have. */
     [[nodiscard]] bool isComplete(TimePoint now) const;
 
     [[nodiscard]] std::size_t size() const noexcept { return m_records.size(); }
@@ -76,13 +80,13 @@
         LedgerRecord record;
         TimePoint expiresAt;
     };
-    struct Era
+    struct PastConfiguration
     {
         SnapshotPtr snapshot;
         TimePoint endedAt;
     };
 
-    [[nodiscard]] bool vouchesFor(const std::string &key, TimePoint now) const;
+    [[nodiscard]] bool canVote(const std::string &key, TimePoint now) const;
     [[nodiscard]] bool wasHomeThroughout(const std::string &key, TimePoint now) const;
     void merge(const LedgerRecord &record, TimePoint now);
 
@@ -90,7 +94,8 @@
     LedgerSettings m_settings;
     TimePoint m_startedAt;
     SnapshotPtr m_snapshot;
-    std::deque<Era> m_eras; /*!< Earlier configurations with other servers, oldest first. */
+    std::deque<PastConfiguration>
+            m_pastConfigurations; /*!< With other servers or zones; oldest first. */
     std::map<std::string, Entry> m_records;
     std::set<std::string> m_recoveredFrom;
 };
--- a/src/celeryramp/gate/ledger_homes.cpp
+++ b/src/celeryramp/gate/ledger_homes.cpp
@@ -8,17 +8,19 @@
 
 namespace internal {
 
-using Ranked = std::vector<std::pair<std::uint64_t, std::string>>;
+using RankedZones = std::vector<std::pair<std::uint64_t, std::string>>;
 
-[[nodiscard]] std::string bestOf(const Snapshot &snapshot, const std::string &zone,
-                                 const std::string &key, const std::vector<std::string> &taken)
+[[nodiscard]] std::string bestServer(const Snapshot &snapshot, const std::string &zone,
+                                     const std::string &key,
+                                     const std::vector<std::string> &excluded)
 {
     std::string best;
     std::uint64_t bestHash = 0;
     for (const auto *server : snapshot.serversIn(zone)) {
         const auto hash = stableHash({key, server->name});
-        const bool isTaken = std::find(taken.begin(), taken.end(), server->name) != taken.end();
-        if (!isTaken && (best.empty() || hash < bestHash)) {
+        const bool isExcluded
+                = std::find(excluded.begin(), excluded.end(), server->name) != excluded.end();
+        if (!isExcluded && (best.empty() || hash < bestHash)) {
             best = server->name;
             bestHash = hash;
         }
@@ -30,7 +32,7 @@
 
 std::vector<std::string> ledgerHomes(const Snapshot &snapshot, const std::string &key)
 {
-    internal::Ranked zones;
+    internal::RankedZones zones;
     for (const auto &[name, zone] : snapshot.model().zones) {
         if (!snapshot.serversIn(name).empty()) {
             zones.emplace_back(stableHash({key, name}), name);
@@ -45,7 +47,7 @@
             if (homes.size() == kLedgerHomes) {
                 break;
             }
-            if (auto best = internal::bestOf(snapshot, zone, key, homes); !best.empty()) {
+            if (auto best = internal::bestServer(snapshot, zone, key, homes); !best.empty()) {
                 homes.push_back(std::move(best));
                 found = true;
             }
--- a/src/celeryramp/gate/ledger_homes.h
+++ b/src/celeryramp/gate/ledger_homes.h
@@ -7,17 +7,19 @@
 
 namespace celeryramp {
 
-/*! @brief Homes that keep the record of one idempotency key; any two of them may be lost. */
+/*! @brief Number of homes that store the record of an idempotency key; tolerates the loss of two.
+ */
 inline constexpr std::size_t kLedgerHomes = 5;
 
 /*!
- * @brief Homes of a key, by rendezvous over the declared servers, spread evenly over all zones.
+ * @brief Selects the homes of a key by rendezvous hashing over all servers of the configuration.
+ * The homes are spread evenly over the zones.
  * @return Up to `kLedgerHomes` server names.
  */
 [[nodiscard]] std::vector<std::string> ledgerHomes(const Snapshot &snapshot,
                                                    const std::string &key);
 
-/*! @return Votes that a reservation needs of so many homes: more than half. */
+/*! @return Number of votes that a reservation needs: more than half of the homes. */
 [[nodiscard]] constexpr std::size_t ledgerQuorum(std::size_t homes) noexcept
 {
     return homes / 2 + 1;
--- a/src/celeryramp/gate/reservation.cpp
+++ b/src/celeryramp/gate/reservation.cpp
@@ -13,7 +13,7 @@
 void Reservation::onVote(const VoteMessage &vote)
 {
     const bool isHome = std::find(m_homes.begin(), m_homes.end(), vote.home) != m_homes.end();
-    if (!isHome || !m_heard.insert(vote.home).second) {
+    if (!isHome || !m_responded.insert(vote.home).second) {
         return;
     }
     m_granted += vote.vote == Vote::Granted ? 1 : 0;
@@ -29,19 +29,19 @@
 void Reservation::onUnreachable(const std::string &home)
 {
     if (std::find(m_homes.begin(), m_homes.end(), home) != m_homes.end()) {
-        m_heard.insert(home);
+        m_responded.insert(home);
     }
 }
 
 ReservationState Reservation::state(TimePoint now) const
 {
-    const bool late = now - m_startedAt >= kReservationTimeout;
+    const bool isLate = now - m_startedAt >= kReservationTimeout;
     const auto quorum = ledgerQuorum(m_homes.size());
-    if (!late && !m_homes.empty() && m_granted >= quorum) {
+    if (!isLate && !m_homes.empty() && m_granted >= quorum) {
         return ReservationState::Granted;
     }
-    const auto outstanding = m_homes.size() - m_heard.size();
-    if (!late && m_granted + outstanding >= quorum && outstanding > 0) {
+    const auto outstanding = m_homes.size() - m_responded.size();
+    if (!isLate && m_granted + outstanding >= quorum && outstanding > 0) {
         return ReservationState::Open;
     }
     if (m_mismatches > 0) {
--- a/src/celeryramp/gate/reservation.h
+++ b/src/celeryramp/gate/reservation.h
@@ -11,29 +11,30 @@
 
 namespace celeryramp {
 
-/*! @brief Where an entry node stands with a reservation. */
+/*! @brief State of a reservation at the entry node. */
 enum class ReservationState {
-    Open, /*!< Votes are outstanding and may still decide. */
-    Granted, /*!< More than half of the homes granted: the attempt may be handed over. */
+    Open, /*!< Outstanding votes may still reach a quorum. */
+    Granted, /*!< More than half of the homes granted, so the attempt may be sent to a gate. */
     Held, /*!< Another attempt holds the key. */
     Mismatch, /*!< The key was used for a different request. */
-    Failed /*!< Too few homes can vouch. */
+    Failed /*!< Too few homes granted the reservation in time. */
 };
 
 /*! @brief Counts the votes of one attempt. */
 class Reservation
 {
 public:
-    /*! @param homes Homes of the key. @param startedAt When the first request was sent. */
+    /*! @param homes Homes of the key. @param startedAt Time at which the first request was sent. */
     Reservation(std::vector<std::string> homes, TimePoint startedAt);
 
-    /*! @brief A vote arrived; repeated and foreign ones are ignored. */
+    /*! @brief Counts a vote. Repeated votes and votes of other servers are ignored. */
     void onVote(const VoteMessage &vote);
 
-    /*! @brief A home cannot be reached. */
+    /*! @brief Records that a home cannot be reached. */
     void onUnreachable(const std::string &home);
 
-    /*! @return State; votes that come too late no longer grant. */
+    /*! @return Current state. After `kReservationTimeout`, votes no longer grant the reservation.
+     */
     [[nodiscard]] ReservationState state(TimePoint now) const;
 
     /*! @return Record of the attempt that holds the key, if a home sent one. */
@@ -44,7 +45,7 @@
 private:
     std::vector<std::string> m_homes;
     TimePoint m_startedAt;
-    std::set<std::string> m_heard;
+    std::set<std::string> m_responded;
     std::size_t m_granted = 0;
     std::size_t m_mismatches = 0;
     std::optional<LedgerRecord> m_holder;
--- a/test/gate/concurrency_ramp.cpp
+++ b/test/gate/concurrency_ramp.cpp
@@ -7,7 +7,7 @@
 using namespace celeryramp;
 using testsupport::at;
 
-TEST_CASE("a ramp starts small and grows to all slots on good answers")
+TEST_CASE("a ramp starts low and grows to all slots on good answers")
 {
     ConcurrencyRamp ramp{12};
     REQUIRE(ramp.limit() == 2);
@@ -17,7 +17,7 @@
     REQUIRE(ramp.limit() == 12);
 }
 
-TEST_CASE("a ramp grows by one at a time, however many good answers come")
+TEST_CASE("a ramp grows by one at a time regardless of the number of good answers")
 {
     ConcurrencyRamp ramp{12};
     int before = ramp.limit();
@@ -34,7 +34,7 @@
     REQUIRE(ramp.limit() == 12);
 }
 
-TEST_CASE("a ramp does not grow on answers that prove nothing")
+TEST_CASE("a ramp does not grow on answers while few slots are in use")
 {
     ConcurrencyRamp ramp{12};
     for (int i = 0; i < 1000; ++i) {
@@ -43,7 +43,7 @@
     REQUIRE(ramp.limit() == 2);
 }
 
-TEST_CASE("a ramp falls at once on shed load, failures and sudden slowness")
+TEST_CASE("a ramp falls immediately on shed load and failures and slow answers")
 {
     ConcurrencyRamp ramp{12};
     for (int i = 0; i < 1000; ++i) {
@@ -73,7 +73,7 @@
     REQUIRE(ramp.limit() < 12);
 }
 
-TEST_CASE("whatever happens the limit stays between one and the slots")
+TEST_CASE("the limit always stays between one and the number of slots")
 {
     REQUIRE(rc::check("random evidence", [] {
         const auto slots = *rc::gen::inRange(1, 40);
--- a/test/gate/context_table.cpp
+++ b/test/gate/context_table.cpp
@@ -5,7 +5,7 @@
 
 using namespace celeryramp;
 
-TEST_CASE("a context lives as long as its call and cannot be guessed")
+TEST_CASE("a context token is valid as long as its call and unknown tokens are rejected")
 {
     ContextTable table;
     const auto token = table.open({"acme", "k1", "chain", 2, testsupport::at(10)});
--- a/test/gate/crash_watch.cpp
+++ b/test/gate/crash_watch.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("a request in flight on two crashed servers is quarantined, on one it is suspect")
+TEST_CASE("a request in flight on one crashed server is suspect and on two it is quarantined")
 {
     RumourStore store;
     applyAll(store, CrashWatch{"s1"}.onCrash({"poison", "bystander"}, 1));
@@ -36,7 +36,7 @@
     REQUIRE(quarantinedDigests(store).empty());
 }
 
-TEST_CASE("requests that were answered are no suspects when servers die of other causes")
+TEST_CASE("requests that were answered before are not suspect after a crash")
 {
     RumourStore store;
     CrashWatch one{"s1"};
@@ -49,7 +49,7 @@
     REQUIRE(suspectDigests(store) == std::set<std::string>{"new"});
 }
 
-TEST_CASE("a quarantine ends")
+TEST_CASE("a quarantine expires")
 {
     RumourStore store;
     applyAll(store, CrashWatch{"s1"}.onCrash({"d"}, 1));
--- a/test/gate/fair_queue.cpp
+++ b/test/gate/fair_queue.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("accounts take turns however much one of them asks")
+TEST_CASE("accounts are served round-robin even if one of them floods the queue")
 {
     FairQueue queue{100};
     for (std::uint64_t i = 0; i < 50; ++i) {
@@ -37,7 +37,7 @@
     REQUIRE(first["small"] == 2);
 }
 
-TEST_CASE("within an account the call due first goes first")
+TEST_CASE("within an account the call with the earliest due time comes first")
 {
     FairQueue queue{10};
     REQUIRE_FALSE(queue.push(callOf(1, "a", 300)));
@@ -49,24 +49,24 @@
     REQUIRE_FALSE(queue.pop());
 }
 
-TEST_CASE("a flood loses its own least urgent call when the queue is full")
+TEST_CASE("the account with the most calls loses its least urgent one when the queue is full")
 {
     FairQueue queue{3};
     REQUIRE_FALSE(queue.push(callOf(1, "large", 100)));
     REQUIRE_FALSE(queue.push(callOf(2, "large", 300)));
     REQUIRE_FALSE(queue.push(callOf(3, "large", 200)));
-    const auto loser = queue.push(callOf(4, "small", 900));
-    REQUIRE(loser);
-    REQUIRE(loser->call.id == 2);
+    const auto evicted = queue.push(callOf(4, "small", 900));
+    REQUIRE(evicted);
+    REQUIRE(evicted->call.id == 2);
     REQUIRE(queue.size() == 3);
 }
 
-TEST_CASE("overdue calls are taken out")
+TEST_CASE("overdue calls are removed")
 {
     FairQueue queue{10};
     REQUIRE_FALSE(queue.push(callOf(1, "a", 0)));
     REQUIRE_FALSE(queue.push(callOf(2, "b", 500)));
-    const auto overdue = queue.takeOverdue(at(200));
+    const auto overdue = queue.removeOverdue(at(200));
     REQUIRE(overdue.size() == 1);
     REQUIRE(overdue.front().call.id == 1);
     REQUIRE(queue.pop()->call.id == 2);
--- a/test/gate/gate.cpp
+++ b/test/gate/gate.cpp
@@ -46,174 +46,176 @@
 
 } // namespace
 
-TEST_CASE("a gate runs no more at a time than its limit")
+TEST_CASE("a gate runs no more calls concurrently than its limit")
 {
-    Fixture f;
+    Fixture fixture;
     for (std::uint64_t i = 1; i <= 6; ++i) {
-        REQUIRE(f.gate.offer(callOf(i, "a", 0), f.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.around(), at(0)).empty());
     }
-    REQUIRE(f.next(0));
-    REQUIRE(f.next(0));
-    REQUIRE_FALSE(f.next(0)); // a new server starts at two
-    REQUIRE(f.gate.load().running == 2);
+    REQUIRE(fixture.next(0));
+    REQUIRE(fixture.next(0));
+    REQUIRE_FALSE(fixture.next(0)); // The initial limit is two.
+    REQUIRE(fixture.gate.load().running == 2);
 }
 
-TEST_CASE("a gate refuses what must not run, each for its reason")
+TEST_CASE("a gate refuses calls that must not run with the right reason")
 {
-    Fixture f;
+    Fixture fixture;
     SECTION("before the first configuration")
     {
-        const GateSurroundings none{nullptr, false, &f.quarantined, 0};
-        REQUIRE(f.gate.offer(callOf(1, "a", 0), none, at(0)).front().reason == Reason::NotReady);
+        const GateSurroundings none{nullptr, false, &fixture.quarantined, 0};
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), none, at(0)).front().reason
+                == Reason::NotReady);
     }
     SECTION("leaving")
     {
-        REQUIRE(f.gate.offer(callOf(1, "a", 0), f.around(true), at(0)).front().reason
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(true), at(0)).front().reason
                 == Reason::Draining);
     }
     SECTION("draining")
     {
-        f.gate.drain();
-        REQUIRE(f.gate.offer(callOf(1, "a", 0), f.around(), at(0)).front().reason
+        fixture.gate.drain();
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(), at(0)).front().reason
                 == Reason::Draining);
     }
     SECTION("another service")
     {
         auto call = callOf(1, "a", 0);
         call.call.service = "orders";
-        REQUIRE(f.gate.offer(call, f.around(), at(0)).front().reason == Reason::NoServer);
+        REQUIRE(fixture.gate.offer(call, fixture.around(), at(0)).front().reason
+                == Reason::NoServer);
     }
     SECTION("a key that is not granted")
     {
         auto call = callOf(1, "acme", 0);
         call.call.keyId = "k9";
-        REQUIRE(f.gate.offer(call, f.around(), at(0)).front().reason == Reason::BadKey);
+        REQUIRE(fixture.gate.offer(call, fixture.around(), at(0)).front().reason == Reason::BadKey);
         call.call.keyId = "k1";
-        REQUIRE(f.gate.offer(call, f.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(call, fixture.around(), at(0)).empty());
     }
     SECTION("quarantined")
     {
-        f.quarantined.insert("d1");
-        REQUIRE(f.gate.offer(callOf(1, "a", 0), f.around(), at(0)).front().reason
+        fixture.quarantined.insert("d1");
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(), at(0)).front().reason
                 == Reason::Quarantined);
     }
     SECTION("too late")
     {
-        REQUIRE(f.gate.offer(callOf(1, "a", 0, 0), f.around(), at(0)).front().reason
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0, 0), fixture.around(), at(0)).front().reason
                 == Reason::TooLate);
     }
 }
 
-TEST_CASE("what changed while a call waited counts when it leaves the queue")
+TEST_CASE("keys and zone status are checked again when a call leaves the queue")
 {
-    Fixture f;
+    Fixture fixture;
     auto parts = testsupport::sampleParts();
     SECTION("the key was withdrawn")
     {
         auto call = callOf(1, "acme", 0);
         call.call.keyId = "k1";
-        REQUIRE(f.gate.offer(call, f.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(call, fixture.around(), at(0)).empty());
         parts["keys"] = R"({"keys":{}})";
     }
     SECTION("the zone went out of service")
     {
-        REQUIRE(f.gate.offer(callOf(1, "acme", 0), f.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(callOf(1, "acme", 0), fixture.around(), at(0)).empty());
         auto &zones = parts["zones"];
         zones.replace(zones.find("\"in\""), 4, "\"out\"");
     }
-    f.snapshot = buildSnapshot(makeDocument(2, parts)).value();
-    REQUIRE_FALSE(f.next(1));
-    REQUIRE(f.refusals.size() == 1);
+    fixture.snapshot = buildSnapshot(makeDocument(2, parts)).value();
+    REQUIRE_FALSE(fixture.next(1));
+    REQUIRE(fixture.refusals.size() == 1);
 }
 
-TEST_CASE("overdue and cancelled calls are refused without having run")
+TEST_CASE("overdue and cancelled calls do not run")
 {
-    Fixture f;
-    REQUIRE(f.gate.offer(callOf(1, "a", 0, 10), f.around(), at(0)).empty());
-    REQUIRE(f.gate.offer(callOf(2, "a", 0), f.around(), at(0)).empty());
-    REQUIRE(f.gate.cancel(2, 0));
-    REQUIRE_FALSE(f.gate.cancel(2, 0));
-    REQUIRE_FALSE(f.next(20));
-    REQUIRE(f.refusals.size() == 1);
-    REQUIRE(f.refusals.front().reason == Reason::TooLate);
-    REQUIRE(f.gate.isIdle());
+    Fixture fixture;
+    REQUIRE(fixture.gate.offer(callOf(1, "a", 0, 10), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(2, "a", 0), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.cancel(2, 0));
+    REQUIRE_FALSE(fixture.gate.cancel(2, 0));
+    REQUIRE_FALSE(fixture.next(20));
+    REQUIRE(fixture.refusals.size() == 1);
+    REQUIRE(fixture.refusals.front().reason == Reason::TooLate);
+    REQUIRE(fixture.gate.isIdle());
 }
 
 TEST_CASE("a running call can no longer be cancelled")
 {
-    Fixture f;
-    REQUIRE(f.gate.offer(callOf(1, "a", 0), f.around(), at(0)).empty());
-    const auto call = f.next(0);
+    Fixture fixture;
+    REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(), at(0)).empty());
+    const auto call = fixture.next(0);
     REQUIRE(call);
-    REQUIRE_FALSE(f.gate.cancel(1, 0));
-    f.gate.finished(Evidence::InTarget, Micros{1000}, 0, at(1));
-    REQUIRE(f.gate.isIdle());
+    REQUIRE_FALSE(fixture.gate.cancel(1, 0));
+    fixture.gate.finished(Evidence::InTarget, Micros{1000}, 0, at(1));
+    REQUIRE(fixture.gate.isIdle());
 }
 
-TEST_CASE("a call that may try other gates is not kept by a busy one")
+TEST_CASE("a busy gate refuses calls that must not queue")
 {
-    Fixture f;
-    auto choosy = callOf(1, "a", 0);
-    choosy.call.mayQueue = false;
-    REQUIRE(f.gate.offer(choosy, f.around(), at(0)).empty());
-    REQUIRE(f.next(0));
-    REQUIRE(f.gate.offer(callOf(2, "a", 0), f.around(), at(0)).empty());
-    choosy.call.id = 3;
-    const auto refused = f.gate.offer(choosy, f.around(), at(0));
+    Fixture fixture;
+    auto unqueued = callOf(1, "a", 0);
+    unqueued.call.mayQueue = false;
+    REQUIRE(fixture.gate.offer(unqueued, fixture.around(), at(0)).empty());
+    REQUIRE(fixture.next(0));
+    REQUIRE(fixture.gate.offer(callOf(2, "a", 0), fixture.around(), at(0)).empty());
+    unqueued.call.id = 3;
+    const auto refused = fixture.gate.offer(unqueued, fixture.around(), at(0));
     REQUIRE(refused.size() == 1);
     REQUIRE(refused.front().reason == Reason::Busy);
-    REQUIRE(f.gate.offer(callOf(4, "a", 0), f.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(4, "a", 0), fixture.around(), at(0)).empty());
 }
 
-TEST_CASE("nested calls go first and find room that outside calls leave")
+TEST_CASE("nested calls run before outside calls")
 {
-    Fixture f;
-    REQUIRE(f.gate.offer(callOf(1, "a", 0), f.around(), at(0)).empty());
-    REQUIRE(f.gate.offer(callOf(2, "a", 0, 1000, 3), f.around(), at(0)).empty());
-    REQUIRE(f.next(0)->call.id == 2);
+    Fixture fixture;
+    REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(2, "a", 0, 1000, 3), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.next(0)->call.id == 2);
 }
 
-TEST_CASE("calls whose server waits for calls of its own leave their part of the limit to others")
+TEST_CASE("calls that wait for nested calls do not count towards the limit")
 {
-    Fixture f;
+    Fixture fixture;
     for (std::uint64_t i = 1; i <= 6; ++i) {
-        REQUIRE(f.gate.offer(callOf(i, "a", 0), f.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.around(), at(0)).empty());
     }
-    REQUIRE(f.next(0));
-    REQUIRE(f.next(0));
-    REQUIRE_FALSE(f.next(0));
-    f.waiting = 2;
-    REQUIRE(f.next(0));
-    REQUIRE(f.next(0));
-    f.waiting = 4;
-    REQUIRE_FALSE(f.next(0)); // four slots, all of them held
+    REQUIRE(fixture.next(0));
+    REQUIRE(fixture.next(0));
+    REQUIRE_FALSE(fixture.next(0));
+    fixture.waiting = 2;
+    REQUIRE(fixture.next(0));
+    REQUIRE(fixture.next(0));
+    fixture.waiting = 4;
+    REQUIRE_FALSE(fixture.next(0)); // All four slots are occupied.
 }
 
 TEST_CASE("a nested call is refused when only waiting calls hold the slots")
 {
-    Fixture f;
+    Fixture fixture;
     for (std::uint64_t i = 1; i <= 4; ++i) {
-        REQUIRE(f.gate.offer(callOf(i, "a", 0), f.around(), at(0)).empty());
-        REQUIRE(f.next(0));
-        f.waiting = static_cast<int>(i);
+        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.around(), at(0)).empty());
+        REQUIRE(fixture.next(0));
+        fixture.waiting = static_cast<int>(i);
     }
-    const auto refused = f.gate.offer(callOf(9, "a", 0, 1000, 5), f.around(), at(0));
+    const auto refused = fixture.gate.offer(callOf(9, "a", 0, 1000, 5), fixture.around(), at(0));
     REQUIRE(refused.size() == 1);
     REQUIRE(refused.front().reason == Reason::Busy);
-    f.waiting = 3;
-    REQUIRE(f.gate.offer(callOf(10, "a", 0, 1000, 5), f.around(), at(0)).empty());
+    fixture.waiting = 3;
+    REQUIRE(fixture.gate.offer(callOf(10, "a", 0, 1000, 5), fixture.around(), at(0)).empty());
 }
 
 TEST_CASE("every call offered is run or refused exactly once")
 {
     REQUIRE(rc::check("random work", [] {
-        Fixture f;
+        Fixture fixture;
         std::map<std::uint64_t, int> ends;
         std::vector<QueuedCall> running;
         std::uint64_t offered = 0;
         std::int64_t now = 0;
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100));
-        const auto note = [&](const std::vector<Refusal> &refusals) {
+        const auto countRefusals = [&](const std::vector<Refusal> &refusals) {
             for (const auto &refusal : refusals) {
                 ++ends[refusal.call.call.id];
             }
@@ -221,31 +223,33 @@
         for (const auto step : steps) {
             now += step % 13;
             if (step < 50) {
-                note(f.gate.offer(callOf(++offered, std::to_string(step % 4), now, step * 3),
-                                  f.around(), at(now)));
+                countRefusals(fixture.gate.offer(
+                        callOf(++offered, std::to_string(step % 4), now, step * 3),
+                        fixture.around(), at(now)));
             } else if (step < 75) {
-                f.refusals.clear();
-                if (auto call = f.next(now)) {
+                fixture.refusals.clear();
+                if (auto call = fixture.next(now)) {
                     ++ends[call->call.id];
                     running.push_back(*call);
                 }
-                note(f.refusals);
+                countRefusals(fixture.refusals);
             } else if (step < 95 && !running.empty()) {
-                f.gate.finished(static_cast<Evidence>(step % 4), Micros{1000}, 0, at(now));
+                fixture.gate.finished(static_cast<Evidence>(step % 4), Micros{1000}, 0, at(now));
                 running.pop_back();
-            } else if (const auto call = f.gate.cancel(static_cast<std::uint64_t>(step % 9), 0)) {
+            } else if (const auto call
+                       = fixture.gate.cancel(static_cast<std::uint64_t>(step % 9), 0)) {
                 ++ends[call->call.id];
             }
-            RC_ASSERT(f.gate.load().limit >= 1U);
-            RC_ASSERT(f.gate.load().limit <= 4U);
-            RC_ASSERT(f.gate.load().running == running.size());
+            RC_ASSERT(fixture.gate.load().limit >= 1U);
+            RC_ASSERT(fixture.gate.load().limit <= 4U);
+            RC_ASSERT(fixture.gate.load().running == running.size());
         }
-        f.refusals.clear();
-        static_cast<void>(f.next(now + 100'000));
-        note(f.refusals);
+        fixture.refusals.clear();
+        static_cast<void>(fixture.next(now + 100'000));
+        countRefusals(fixture.refusals);
         RC_ASSERT(ends.size() == offered);
-        for (const auto &[id, n] : ends) {
-            RC_ASSERT(n == 1);
+        for (const auto &[id, count] : ends) {
+            RC_ASSERT(count == 1);
         }
     }));
 }
--- a/test/gate/ledger.cpp
+++ b/test/gate/ledger.cpp
@@ -19,16 +19,16 @@
 namespace {
 
 const LedgerSettings kSettings{Millis{20'000}, false};
-const LedgerSettings kFirst{Millis{20'000}, true};
+const LedgerSettings kFirstStart{Millis{20'000}, true};
 
-/*! Homes, attempts on one key, and messages that a test delivers, loses or holds back. */
+/*! Homes and attempts of one key, with messages that a test delivers, drops or delays. */
 class Ledger
 {
 public:
-    explicit Ledger(bool vouchAfterRestart = false) : m_vouchAfterRestart{vouchAfterRestart}
+    explicit Ledger(bool voteAfterRestart = false) : m_voteAfterRestart{voteAfterRestart}
     {
         for (const auto &[name, server] : m_snapshot->model().servers) {
-            m_homes.emplace(name, std::make_unique<LedgerHome>(name, kFirst, at(0)));
+            m_homes.emplace(name, std::make_unique<LedgerHome>(name, kFirstStart, at(0)));
             m_homes.at(name)->onSnapshot(m_snapshot, at(0));
         }
         m_keyHomes = ledgerHomes(*m_snapshot, "acme/key");
@@ -36,7 +36,7 @@
 
     [[nodiscard]] const std::vector<std::string> &keyHomes() const { return m_keyHomes; }
     [[nodiscard]] int granted() const { return m_granted; }
-    [[nodiscard]] std::size_t waiting() const { return m_letters.size(); }
+    [[nodiscard]] std::size_t pendingMessages() const { return m_messages.size(); }
     LedgerHome &home(const std::string &name) { return *m_homes.at(name); }
 
     void attempt(std::int64_t now)
@@ -44,7 +44,7 @@
         const auto id = static_cast<std::uint64_t>(m_attempts.size() + 1);
         m_attempts.push_back({Reservation{m_keyHomes, at(now)}, false});
         for (const auto &name : m_keyHomes) {
-            m_letters.push_back(
+            m_messages.push_back(
                     {name, ReserveMessage{id, "acme/key", "digest", "try" + std::to_string(id)},
                      id});
         }
@@ -52,12 +52,13 @@
 
     void restart(const std::string &name, std::int64_t now)
     {
-        // Whatever was on its way to the old process is gone with its connections.
-        m_letters.erase(std::remove_if(m_letters.begin(), m_letters.end(),
-                                       [&](const Letter &letter) { return letter.to == name; }),
-                        m_letters.end());
+        // Messages in flight to the old process are lost with its connections.
+        m_messages.erase(
+                std::remove_if(m_messages.begin(), m_messages.end(),
+                               [&](const PendingMessage &message) { return message.to == name; }),
+                m_messages.end());
         m_homes.at(name) = std::make_unique<LedgerHome>(
-                name, m_vouchAfterRestart ? kFirst : kSettings, at(now));
+                name, m_voteAfterRestart ? kFirstStart : kSettings, at(now));
         m_homes.at(name)->onSnapshot(m_snapshot, at(now));
     }
 
@@ -68,20 +69,21 @@
         }
     }
 
-    void deliver(std::size_t pick, std::int64_t now, bool lose)
+    void deliver(std::size_t index, std::int64_t now, bool lose)
     {
-        const auto i = pick % m_letters.size();
-        const auto letter = m_letters[i];
-        m_letters.erase(m_letters.begin() + std::ptrdiff_t(i));
+        const auto i = index % m_messages.size();
+        const auto message = m_messages[i];
+        m_messages.erase(m_messages.begin() + std::ptrdiff_t(i));
         if (lose) {
             return;
         }
-        if (const auto *reserve = std::get_if<ReserveMessage>(&letter.message)) {
-            m_letters.push_back({"", home(letter.to).onReserve(*reserve, at(now)), letter.attempt});
+        if (const auto *reserve = std::get_if<ReserveMessage>(&message.message)) {
+            m_messages.push_back(
+                    {"", home(message.to).onReserve(*reserve, at(now)), message.attempt});
             return;
         }
-        auto &attempt = m_attempts[letter.attempt - 1];
-        attempt.reservation.onVote(std::get<VoteMessage>(letter.message));
+        auto &attempt = m_attempts[message.attempt - 1];
+        attempt.reservation.onVote(std::get<VoteMessage>(message.message));
         const bool grants = attempt.reservation.state(at(now)) == ReservationState::Granted;
         if (grants && !attempt.granted) {
             attempt.granted = true;
@@ -90,7 +92,7 @@
     }
 
 private:
-    struct Letter
+    struct PendingMessage
     {
         std::string to;
         Message message;
@@ -102,35 +104,36 @@
         bool granted = false;
     };
 
-    bool m_vouchAfterRestart;
+    bool m_voteAfterRestart;
     SnapshotPtr m_snapshot = testsupport::sampleSnapshot(1, {3, 2, 100.0, 50.0});
     std::map<std::string, std::unique_ptr<LedgerHome>> m_homes;
     std::vector<std::string> m_keyHomes;
-    std::deque<Letter> m_letters;
+    std::deque<PendingMessage> m_messages;
     std::vector<Attempt> m_attempts;
     int m_granted = 0;
 };
 
-/*! Runs a random schedule of attempts, losses and restarts on one key; returns grants. */
-int grantsUnder(const std::vector<std::pair<int, int>> &steps, bool vouchAfterRestart)
+/*! Runs a random schedule of attempts, losses and restarts on one key.
+ *  @return Number of attempts that were granted. */
+int grantsUnder(const std::vector<std::pair<int, int>> &steps, bool voteAfterRestart)
 {
-    Ledger ledger{vouchAfterRestart};
+    Ledger ledger{voteAfterRestart};
     std::int64_t now = 0;
-    for (const auto &[what, gap] : steps) {
-        now += gap;
+    for (const auto &[action, delay] : steps) {
+        now += delay;
         const auto &name
-                = ledger.keyHomes()[static_cast<std::size_t>(what) % ledger.keyHomes().size()];
-        if (what < 10) {
+                = ledger.keyHomes()[static_cast<std::size_t>(action) % ledger.keyHomes().size()];
+        if (action < 10) {
             ledger.attempt(now);
-        } else if (what < 14) {
+        } else if (action < 14) {
             ledger.restart(name, now);
-        } else if (what < 30) {
+        } else if (action < 30) {
             ledger.recover(name, now);
-        } else if (ledger.waiting() > 0) {
-            ledger.deliver(static_cast<std::size_t>(what) * 17, now, what % 11 == 0);
+        } else if (ledger.pendingMessages() > 0) {
+            ledger.deliver(static_cast<std::size_t>(action) * 17, now, action % 11 == 0);
         }
         if (now > 19'000) {
-            break; // within the retention; later re-sends are no longer recognized
+            break; // Repeated requests are not recognized after the retention.
         }
     }
     return ledger.granted();
@@ -152,11 +155,11 @@
     REQUIRE(ledgerHomes(*small, "acme/key").size() == 2);
 }
 
-TEST_CASE("a second send meets the first one's record, and the kept answer")
+TEST_CASE("a repeated request finds the record of the first one and its stored answer")
 {
     const auto snapshot = testsupport::sampleSnapshot(1);
     const auto key = std::string{"acme/key"};
-    LedgerHome home{ledgerHomes(*snapshot, key).front(), kFirst, at(0)};
+    LedgerHome home{ledgerHomes(*snapshot, key).front(), kFirstStart, at(0)};
     home.onSnapshot(snapshot, at(0));
     REQUIRE(home.onReserve({1, key, "d", "first"}, at(1)).vote == Vote::Granted);
     REQUIRE(home.onReserve({2, key, "d", "second"}, at(2)).vote == Vote::Held);
@@ -169,11 +172,11 @@
     REQUIRE(vote.record.front().body.data == "made");
 }
 
-TEST_CASE("a released reservation is free again, a finished one is not")
+TEST_CASE("a key can be reserved again only after its holder releases it")
 {
     const auto snapshot = testsupport::sampleSnapshot(1);
     const auto key = std::string{"acme/key"};
-    LedgerHome home{ledgerHomes(*snapshot, key).front(), kFirst, at(0)};
+    LedgerHome home{ledgerHomes(*snapshot, key).front(), kFirstStart, at(0)};
     home.onSnapshot(snapshot, at(0));
     REQUIRE(home.onReserve({1, key, "d", "first"}, at(1)).vote == Vote::Granted);
     CompleteMessage release;
@@ -187,7 +190,7 @@
     REQUIRE(home.onReserve({3, key, "d", "third"}, at(5)).vote == Vote::Granted);
 }
 
-TEST_CASE("a new incarnation abstains until it has the records of the others or time has passed")
+TEST_CASE("a new incarnation abstains until it has all records or the retention has passed")
 {
     const auto snapshot = testsupport::sampleSnapshot(1);
     const auto key = std::string{"acme/key"};
@@ -196,47 +199,47 @@
     home.onSnapshot(snapshot, at(0));
     REQUIRE(home.onReserve({1, key, "d", "a"}, at(100)).vote == Vote::Abstained);
     REQUIRE(home.wantedRecords(at(100)).empty());
-    const auto later = kVouchDelay.count();
+    const auto later = kVoteDelay.count();
     REQUIRE(home.wantedRecords(at(later)).size() == snapshot->model().servers.size() - 1);
     for (const auto &server : home.wantedRecords(at(later))) {
         home.onRecords({server, true, {}}, at(later));
     }
     REQUIRE(home.isComplete(at(later)));
     REQUIRE(home.onReserve({2, "acme/other", "d", "b"}, at(later)).vote != Vote::Held);
-    LedgerHome patient{self, kSettings, at(0)};
-    patient.onSnapshot(snapshot, at(0));
-    REQUIRE(patient.onReserve({1, key, "d", "a"}, at(kSettings.retention.count())).vote
+    LedgerHome oldHome{self, kSettings, at(0)};
+    oldHome.onSnapshot(snapshot, at(0));
+    REQUIRE(oldHome.onReserve({1, key, "d", "a"}, at(kSettings.retention.count())).vote
             == Vote::Granted);
 }
 
-TEST_CASE("a home only since a configuration change abstains for keys it did not hold before")
+TEST_CASE("after a configuration change a home abstains for keys that are new to it")
 {
-    const auto few = testsupport::sampleSnapshot(1, {3, 1, 100.0, 50.0});
-    const auto many = testsupport::sampleSnapshot(2, {3, 8, 100.0, 50.0});
+    const auto small = testsupport::sampleSnapshot(1, {3, 1, 100.0, 50.0});
+    const auto large = testsupport::sampleSnapshot(2, {3, 8, 100.0, 50.0});
     int abstained = 0;
-    int vouched = 0;
+    int granted = 0;
     for (int i = 0; i < 200; ++i) {
         const auto key = "acme/" + std::to_string(i);
-        const auto now = ledgerHomes(*many, key);
+        const auto now = ledgerHomes(*large, key);
         for (const auto &name : now) {
-            LedgerHome home{name, kFirst, at(0)};
-            home.onSnapshot(few, at(0));
-            home.onSnapshot(many, at(10));
-            const auto before = ledgerHomes(*few, key);
+            LedgerHome home{name, kFirstStart, at(0)};
+            home.onSnapshot(small, at(0));
+            home.onSnapshot(large, at(10));
+            const auto before = ledgerHomes(*small, key);
             const bool held = std::find(before.begin(), before.end(), name) != before.end();
             const auto vote = home.onReserve({1, key, "d", "a"}, at(20)).vote;
             REQUIRE(vote == (held ? Vote::Granted : Vote::Abstained));
-            (held ? vouched : abstained) += 1;
-            const auto after = kFirst.retention.count() + 10;
+            (held ? granted : abstained) += 1;
+            const auto after = kFirstStart.retention.count() + 10;
             home.tick(at(after));
             REQUIRE(home.onReserve({2, key + "x", "d", "a"}, at(after)).vote != Vote::Held);
         }
     }
     REQUIRE(abstained > 0);
-    REQUIRE(vouched > 0);
+    REQUIRE(granted > 0);
 }
 
-TEST_CASE("no schedule of loss, delay and restarts grants two attempts of one key")
+TEST_CASE("lost or delayed messages and restarts never grant two attempts of one key")
 {
     REQUIRE(rc::check("random schedules", [] {
         const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -245,11 +248,11 @@
     }));
 }
 
-TEST_CASE("the same schedules grant two attempts when new incarnations vouch at once")
+TEST_CASE("such schedules grant two attempts if new incarnations vote immediately")
 {
-    // The check above is worth something only if it fails without the mechanism.
+    // Shows that the test above fails without the mechanism that it checks.
     RandomEngine random{7};
-    int most = 0;
+    int maxGrants = 0;
     for (int run = 0; run < 300; ++run) {
         std::vector<std::pair<int, int>> steps;
         steps.reserve(300);
@@ -257,13 +260,13 @@
             steps.emplace_back(static_cast<int>(random.below(100)),
                                static_cast<int>(random.below(120)));
         }
-        most = std::max(most, grantsUnder(steps, true));
+        maxGrants = std::max(maxGrants, grantsUnder(steps, true));
         REQUIRE(grantsUnder(steps, false) <= 1);
     }
-    REQUIRE(most > 1);
+    REQUIRE(maxGrants > 1);
 }
 
-TEST_CASE("votes that come late grant nothing")
+TEST_CASE("late votes do not grant a reservation")
 {
     Reservation reservation{{"a", "b", "c"}, at(0)};
     reservation.onVote({1, "a", Vote::Granted, {}});
@@ -275,7 +278,7 @@
     REQUIRE(reservation.state(at(kReservationTimeout.count())) == ReservationState::Failed);
 }
 
-TEST_CASE("two homes out of reach refuse the attempt")
+TEST_CASE("a reservation fails when two of three homes are unreachable")
 {
     Reservation reservation{{"a", "b", "c"}, at(0)};
     reservation.onUnreachable("a");
