--- a/src/celeryramp/engine/call_desk.cpp
+++ b/src/celeryramp/engine/call_desk.cpp
@@ -56,7 +56,7 @@
     auto connection = std::make_shared<http::CallerConnection>(std::move(socket), *this, now);
     m_connections.insert(connection);
     if (m_isLeaving) {
-        connection->closeWhenIdle();
+        connection->closeAfterResponse();
     }
     connection->start();
 }
@@ -434,7 +434,7 @@
 {
     m_isLeaving = true;
     for (const auto &connection : m_connections) {
-        connection->closeWhenIdle();
+        connection->closeAfterResponse();
     }
 }
 
--- a/src/celeryramp/http/caller_connection.cpp
+++ b/src/celeryramp/http/caller_connection.cpp
@@ -150,7 +150,7 @@
     m_events.onClosed(shared_from_this());
 }
 
-void CallerConnection::closeWhenIdle() noexcept
+void CallerConnection::closeAfterResponse() noexcept
 {
     m_closesWhenIdle = true;
 }
--- a/src/celeryramp/http/caller_connection.h
+++ b/src/celeryramp/http/caller_connection.h
@@ -68,7 +68,7 @@
     void close();
 
     /*! @brief Closes the connection after the next response. An idle connection stays open. */
-    void closeWhenIdle() noexcept;
+    void closeAfterResponse() noexcept;
 
     /*!
      * @brief Enforces the timeouts; the owner calls it periodically. Nothing happens while a
