--- a/src/celeryramp/http/caller_connection.cpp
+++ b/src/celeryramp/http/caller_connection.cpp
@@ -51,7 +51,7 @@
     if (wasIdle) {
         m_lastChange = bootNow();
     }
-    if (m_reader.takeContinue()) {
+    if (m_reader.takeExpectContinue()) {
         m_output.emplace_back(internal::kContinue);
         write();
     }
--- a/src/celeryramp/http/request_reader.cpp
+++ b/src/celeryramp/http/request_reader.cpp
@@ -128,7 +128,7 @@
     return request;
 }
 
-bool RequestReader::takeContinue() noexcept
+bool RequestReader::takeExpectContinue() noexcept
 {
     return std::exchange(m_expectsContinue, false) && m_state == State::Body;
 }
--- a/src/celeryramp/http/request_reader.h
+++ b/src/celeryramp/http/request_reader.h
@@ -52,7 +52,7 @@
     [[nodiscard]] int errorStatus() const noexcept { return m_errorStatus; }
 
     /*! @return True, once per request, if the caller waits for `100 Continue` to send its body. */
-    [[nodiscard]] bool takeContinue() noexcept;
+    [[nodiscard]] bool takeExpectContinue() noexcept;
 
     /*! @return Number of bytes received but not parsed yet. */
     [[nodiscard]] std::size_t buffered() const noexcept { return m_buffer.size(); }
