--- a/src/celeryramp/directory/reader_rota.cpp
+++ b/src/celeryramp/directory/reader_selection.cpp
@@ -1,4 +1,4 @@
-#include "directory/reader_rota.h"
+#include "directory/reader_selection.h"
 
 namespace celeryramp::directory {
 
@@ -19,10 +19,10 @@
 
 std::optional<Millis> readPause(const ReaderPosition &position) noexcept
 {
-    const auto ranksAfterFirst = static_cast<Millis::rep>(position.place) - 1;
+    const auto ranksAfterFirst = static_cast<Millis::rep>(position.rank) - 1;
     const bool isTakeOverDue
             = position.age > internal::kTakeOverAge + ranksAfterFirst * internal::kTakeOverAgeStep;
-    if (position.place == 0 || position.isBehind || isTakeOverDue
+    if (position.rank == 0 || position.isBehind || isTakeOverDue
         || position.age > internal::kSelfReadAge) {
         return internal::kReadPause;
     }
--- a/src/celeryramp/directory/reader_rota.h
+++ b/src/celeryramp/directory/reader_selection.h
@@ -10,7 +10,7 @@
 /*! @brief Rank of a node among the candidate readers of its zone, and the state of its replica. */
 struct ReaderPosition
 {
-    std::size_t place = 0; /*!< Number of candidates in the zone that precede this node. */
+    std::size_t rank = 0; /*!< Number of candidates in the zone that precede this node. */
     Millis age{0}; /*!< Age of the node's replica. */
     bool isBehind = false; /*!< The replica is empty or misses an announced revision. */
 };
--- a/src/celeryramp/engine/fleet_talk.cpp
+++ b/src/celeryramp/engine/fleet_talk.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "directory/reader_rota.h"
+#include "directory/reader_selection.h"
 #include "observe/log.h"
 #include "proxy/frame_codec.h"
 
@@ -112,7 +112,7 @@
     position.isBehind = !m_replica.isComplete() || m_replica.revision() < m_readTo;
     for (const auto &node : nodesOf(m_settings.zone)) {
         if (place(node.host) < own && isSteady(node, now)) {
-            ++position.place;
+            ++position.rank;
         }
     }
     return directory::readPause(position);
--- a/test/directory/reader_rota.cpp
+++ b/test/directory/reader_selection.cpp
@@ -1,4 +1,4 @@
-#include "directory/reader_rota.h"
+#include "directory/reader_selection.h"
 
 #include <catch2/catch.hpp>
 
@@ -17,8 +17,8 @@
 TEST_CASE("One node of a zone reads for the others")
 {
     CHECK(readPause({0, Millis{0}, false}));
-    for (std::size_t place = 1; place < 30; ++place) {
-        CHECK_FALSE(readPause({place, Millis{1000}, false}));
+    for (std::size_t rank = 1; rank < 30; ++rank) {
+        CHECK_FALSE(readPause({rank, Millis{1000}, false}));
     }
 }
 
@@ -31,10 +31,10 @@
 TEST_CASE("Pattern: the reader and the second node fail and the third takes over in time")
 {
     // The worst case is a change right after the last confirmation, when replicas are 1 s old.
-    for (std::size_t place = 1; place <= 2; ++place) {
+    for (std::size_t rank = 1; rank <= 2; ++rank) {
         bool hasRead = false;
         for (Millis age{0}; age + kCheckInterval <= kApplyDeadline; age += Millis{10}) {
-            hasRead = hasRead || readPause({place, age, false}).has_value();
+            hasRead = hasRead || readPause({rank, age, false}).has_value();
         }
         CHECK(hasRead);
     }
