--- a/src/celeryramp/directory/replica.cpp
+++ b/src/celeryramp/directory/replica.cpp
@@ -8,20 +8,20 @@
 
 namespace celeryramp::directory {
 
-std::vector<BeliefChange> Replica::applyList(const std::vector<ItemChange> &items,
+std::vector<ReplicaEvent> Replica::applyList(const std::vector<ItemChange> &items,
                                              std::int64_t revision, TimePoint requestedAt,
                                              bool wasSourceUnavailable, TimePoint now)
 {
-    std::vector<BeliefChange> beliefs;
+    std::vector<ReplicaEvent> events;
     if (m_isComplete && revision < m_revision) {
-        beliefs.push_back({"list-ignored", std::to_string(revision),
-                           "older than " + std::to_string(m_revision)});
-        return beliefs;
+        events.push_back({"list-ignored", std::to_string(revision),
+                          "older than " + std::to_string(m_revision)});
+        return events;
     }
     std::set<std::string> listed;
     for (const auto &item : items) {
         listed.insert(item.key);
-        applyItem(item, wasSourceUnavailable, now, beliefs);
+        applyItem(item, wasSourceUnavailable, now, events);
     }
     std::vector<std::string> missing;
     for (const auto &[key, held] : m_items) {
@@ -30,22 +30,22 @@
         }
     }
     for (const auto &key : missing) {
-        removeItem(key, wasSourceUnavailable, now, beliefs);
+        removeItem(key, wasSourceUnavailable, now, events);
     }
     m_revision = revision;
     m_isComplete = true;
     m_freshAsOf = std::max(m_freshAsOf, requestedAt);
     rebuildView();
-    return beliefs;
+    return events;
 }
 
-std::vector<BeliefChange> Replica::applyChanges(const std::vector<ItemChange> &changes,
+std::vector<ReplicaEvent> Replica::applyChanges(const std::vector<ItemChange> &changes,
                                                 std::int64_t revision, TimePoint requestedAt,
                                                 bool wasSourceUnavailable, TimePoint now)
 {
-    std::vector<BeliefChange> beliefs;
+    std::vector<ReplicaEvent> events;
     if (revision < m_revision) {
-        return beliefs;
+        return events;
     }
     for (const auto &change : changes) {
         const auto it = m_items.find(change.key);
@@ -53,20 +53,20 @@
             continue;
         }
         if (change.isRemoved) {
-            removeItem(change.key, wasSourceUnavailable, now, beliefs);
+            removeItem(change.key, wasSourceUnavailable, now, events);
         } else {
-            applyItem(change, wasSourceUnavailable, now, beliefs);
+            applyItem(change, wasSourceUnavailable, now, events);
         }
     }
     m_revision = revision;
     m_freshAsOf = std::max(m_freshAsOf, requestedAt);
     rebuildView();
-    return beliefs;
+    return events;
 }
 
-std::vector<BeliefChange> Replica::expire(TimePoint now)
+std::vector<ReplicaEvent> Replica::expire(TimePoint now)
 {
-    std::vector<BeliefChange> beliefs;
+    std::vector<ReplicaEvent> events;
     for (auto it = m_lapsedUntil.begin(); it != m_lapsedUntil.end();) {
         if (now < it->second) {
             ++it;
@@ -74,10 +74,10 @@
         }
         const auto key = it->first;
         it = m_lapsedUntil.erase(it);
-        removeDecoded(key, beliefs);
+        removeDecoded(key, events);
     }
     rebuildView();
-    return beliefs;
+    return events;
 }
 
 Millis Replica::age(TimePoint now) const
@@ -132,7 +132,7 @@
 }
 
 void Replica::applyItem(const ItemChange &change, bool wasSourceUnavailable, TimePoint now,
-                        std::vector<BeliefChange> &beliefs)
+                        std::vector<ReplicaEvent> &events)
 {
     const bool wasLapsed = m_lapsedUntil.erase(change.key) > 0;
     auto &held = m_items[change.key];
@@ -140,7 +140,7 @@
         return;
     }
     if (wasLapsed) {
-        beliefs.push_back({"server-returned", change.key, std::to_string(change.revision)});
+        events.push_back({"server-returned", change.key, std::to_string(change.revision)});
     }
     if (held.revision > 0) {
         auto &previous = m_previousItems[change.key];
@@ -152,78 +152,78 @@
     held = {change.value, change.revision};
     auto decoded = m_decoder.decode(change.key, change.value);
     if (!decoded) {
-        beliefs.push_back({"item-unreadable", change.key,
-                           decoded.error().place + ": " + decoded.error().reason});
+        events.push_back({"item-unreadable", change.key,
+                          decoded.error().place + ": " + decoded.error().reason});
         if (m_servers.count(change.key) > 0) {
-            removeItem(change.key, wasSourceUnavailable, now, beliefs);
+            removeItem(change.key, wasSourceUnavailable, now, events);
             m_items[change.key] = {change.value, change.revision};
         }
         return;
     }
     if (auto *configuration = std::get_if<Configuration>(&decoded.value())) {
-        applyConfiguration(std::move(*configuration), beliefs);
+        applyConfiguration(std::move(*configuration), events);
     } else if (auto *server = std::get_if<BackendServer>(&decoded.value())) {
         server->learnedAt = now;
         const auto it = m_servers.find(change.key);
         const bool isNew = it == m_servers.end() || !it->second.isSameIncarnation(*server);
         if (isNew || it->second.isDraining != server->isDraining) {
-            beliefs.push_back({server->isDraining ? "server-draining" : "server-seen", server->id,
-                               server->service + " " + server->address.text()
-                                       + " started=" + std::to_string(server->startedMillis)});
+            events.push_back({server->isDraining ? "server-draining" : "server-seen", server->id,
+                              server->service + " " + server->address.text()
+                                      + " started=" + std::to_string(server->startedMillis)});
         }
         m_servers[change.key] = std::move(*server);
         m_isViewOutdated = true;
     } else if (const auto *zone = std::get_if<EvacuatedZone>(&decoded.value())) {
-        beliefs.push_back({"zone-evacuated", zone->zone, std::to_string(change.revision)});
+        events.push_back({"zone-evacuated", zone->zone, std::to_string(change.revision)});
         m_evacuatedZones[change.key] = zone->zone;
         m_isViewOutdated = true;
     }
 }
 
 void Replica::removeItem(const std::string &key, bool wasSourceUnavailable, TimePoint now,
-                         std::vector<BeliefChange> &beliefs)
+                         std::vector<ReplicaEvent> &events)
 {
     m_items.erase(key);
     m_previousItems.erase(key);
     if (wasSourceUnavailable && m_servers.count(key) > 0 && !m_servers[key].isDraining) {
-        beliefs.push_back({"server-lapsed", m_servers[key].id, "kept for the grace period"});
+        events.push_back({"server-lapsed", m_servers[key].id, "kept for the grace period"});
         m_lapsedUntil.emplace(key, now + m_gracePeriod);
         return;
     }
-    removeDecoded(key, beliefs);
+    removeDecoded(key, events);
 }
 
-void Replica::removeDecoded(const std::string &key, std::vector<BeliefChange> &beliefs)
+void Replica::removeDecoded(const std::string &key, std::vector<ReplicaEvent> &events)
 {
     if (const auto it = m_servers.find(key); it != m_servers.end()) {
-        beliefs.push_back({"server-gone", it->second.id, it->second.service});
+        events.push_back({"server-gone", it->second.id, it->second.service});
         m_servers.erase(it);
         m_isViewOutdated = true;
     }
     if (const auto it = m_evacuatedZones.find(key); it != m_evacuatedZones.end()) {
-        beliefs.push_back({"zone-back", it->second, ""});
+        events.push_back({"zone-back", it->second, ""});
         m_evacuatedZones.erase(it);
         m_isViewOutdated = true;
     }
 }
 
-void Replica::applyConfiguration(Configuration configuration, std::vector<BeliefChange> &beliefs)
+void Replica::applyConfiguration(Configuration configuration, std::vector<ReplicaEvent> &events)
 {
     const auto version = std::to_string(configuration.version);
     if (m_routing && configuration.version <= m_routing->version()) {
-        beliefs.push_back({"configuration-ignored", version,
-                           "in force: " + std::to_string(m_routing->version())});
+        events.push_back({"configuration-ignored", version,
+                          "in force: " + std::to_string(m_routing->version())});
         return;
     }
     auto table = RoutingTable::build(std::move(configuration));
     if (!table) {
-        beliefs.push_back({"configuration-rejected", version,
-                           table.error().place + ": " + table.error().reason});
+        events.push_back({"configuration-rejected", version,
+                          table.error().place + ": " + table.error().reason});
         return;
     }
     m_routing = std::make_shared<const RoutingTable>(std::move(table.value()));
     m_isViewOutdated = true;
-    beliefs.push_back({"configuration-accepted", version, ""});
+    events.push_back({"configuration-accepted", version, ""});
 }
 
 void Replica::rebuildView()
--- a/src/celeryramp/directory/replica.h
+++ b/src/celeryramp/directory/replica.h
@@ -24,7 +24,7 @@
 };
 
 /*! @brief Effect of a change on the replica, for the log. */
-struct BeliefChange
+struct ReplicaEvent
 {
     std::string event;
     std::string subject;
@@ -59,7 +59,7 @@
      * @param wasSourceUnavailable The source was unavailable until shortly before.
      * @return The effects on the replica.
      */
-    std::vector<BeliefChange> applyList(const std::vector<ItemChange> &items, std::int64_t revision,
+    std::vector<ReplicaEvent> applyList(const std::vector<ItemChange> &items, std::int64_t revision,
                                         TimePoint requestedAt, bool wasSourceUnavailable,
                                         TimePoint now);
 
@@ -67,7 +67,7 @@
      * @brief Applies changes to the held items. Other parameters and result as for `applyList`.
      * @param requestedAt `TimePoint{}` if unknown; the age of the replica then stays unchanged.
      */
-    std::vector<BeliefChange> applyChanges(const std::vector<ItemChange> &changes,
+    std::vector<ReplicaEvent> applyChanges(const std::vector<ItemChange> &changes,
                                            std::int64_t revision, TimePoint requestedAt,
                                            bool wasSourceUnavailable, TimePoint now);
 
@@ -75,7 +75,7 @@
     void confirm(TimePoint asOf) noexcept { m_freshAsOf = std::max(m_freshAsOf, asOf); }
 
     /*! @brief Removes servers whose grace period has ended. @return The effects on the replica. */
-    std::vector<BeliefChange> expire(TimePoint now);
+    std::vector<ReplicaEvent> expire(TimePoint now);
 
     /*! @return The current snapshot; never null. */
     [[nodiscard]] const DirectoryPtr &view() const noexcept { return m_view; }
@@ -120,11 +120,11 @@
     };
 
     void applyItem(const ItemChange &change, bool wasSourceUnavailable, TimePoint now,
-                   std::vector<BeliefChange> &beliefs);
+                   std::vector<ReplicaEvent> &events);
     void removeItem(const std::string &key, bool wasSourceUnavailable, TimePoint now,
-                    std::vector<BeliefChange> &beliefs);
-    void removeDecoded(const std::string &key, std::vector<BeliefChange> &beliefs);
-    void applyConfiguration(Configuration configuration, std::vector<BeliefChange> &beliefs);
+                    std::vector<ReplicaEvent> &events);
+    void removeDecoded(const std::string &key, std::vector<ReplicaEvent> &events);
+    void applyConfiguration(Configuration configuration, std::vector<ReplicaEvent> &events);
     void rebuildView();
 
     const ItemDecoder &m_decoder;
--- a/src/celeryramp/engine/engine.cpp
+++ b/src/celeryramp/engine/engine.cpp
@@ -372,7 +372,7 @@
               "peer", now);
 }
 
-void Engine::onBeliefs(const std::vector<directory::BeliefChange> &beliefs, const char *source,
+void Engine::onBeliefs(const std::vector<directory::ReplicaEvent> &beliefs, const char *source,
                        TimePoint now)
 {
     for (const auto &belief : beliefs) {
--- a/src/celeryramp/engine/engine.h
+++ b/src/celeryramp/engine/engine.h
@@ -70,7 +70,7 @@
     void tick();
     void onNews(const Address &peer, const proxy::NewsFrame &news, TimePoint now);
     void onSync(const proxy::SyncReplyFrame &reply, TimePoint now);
-    void onBeliefs(const std::vector<directory::BeliefChange> &beliefs, const char *source,
+    void onBeliefs(const std::vector<directory::ReplicaEvent> &beliefs, const char *source,
                    TimePoint now);
     void onSourceAnswered(TimePoint now);
     void finishLeaving(TimePoint now);
--- a/test/directory/replica.cpp
+++ b/test/directory/replica.cpp
@@ -23,10 +23,10 @@
     return {"configuration", std::to_string(number), revision, false};
 }
 
-bool has(const std::vector<BeliefChange> &beliefs, const std::string &event)
+bool has(const std::vector<ReplicaEvent> &events, const std::string &event)
 {
-    return std::any_of(beliefs.begin(), beliefs.end(),
-                       [&event](const BeliefChange &it) { return it.event == event; });
+    return std::any_of(events.begin(), events.end(),
+                       [&event](const ReplicaEvent &it) { return it.event == event; });
 }
 
 } // namespace
@@ -40,9 +40,9 @@
                                         false, kStart));
     REQUIRE(replica.view()->servers.size() == 2);
     REQUIRE(replica.view()->routing->version() == 1);
-    const auto beliefs
+    const auto events
             = replica.applyList({version(1, 2), server("b", 4)}, 9, kStart, false, kStart);
-    REQUIRE(has(beliefs, "server-gone"));
+    REQUIRE(has(events, "server-gone"));
     REQUIRE(replica.view()->findServer("a") == nullptr);
     REQUIRE(replica.view()->findServer("b") != nullptr);
 }
@@ -55,9 +55,9 @@
                                         false, kStart));
     SECTION("a list with an older revision")
     {
-        const auto beliefs
+        const auto events
                 = replica.applyList({version(6, 5), server("a", 6)}, 8, kStart, false, kStart);
-        REQUIRE(has(beliefs, "list-ignored"));
+        REQUIRE(has(events, "list-ignored"));
     }
     SECTION("a change with an older revision")
     {
@@ -65,8 +65,8 @@
     }
     SECTION("a newer item with an older configuration version")
     {
-        const auto beliefs = replica.applyChanges({version(6, 12)}, 12, kStart, false, kStart);
-        REQUIRE(has(beliefs, "configuration-ignored"));
+        const auto events = replica.applyChanges({version(6, 12)}, 12, kStart, false, kStart);
+        REQUIRE(has(events, "configuration-ignored"));
     }
     REQUIRE(replica.view()->routing->version() == 7);
     REQUIRE(replica.view()->findServer("a")->isDraining);
@@ -78,9 +78,9 @@
     Replica replica{decoder, kGracePeriod};
     static_cast<void>(
             replica.applyList({server("a", 3), server("b", 4)}, 4, kStart, false, kStart));
-    const auto beliefs
+    const auto events
             = replica.applyChanges({{"server/a", "nonsense", 5, false}}, 5, kStart, false, kStart);
-    REQUIRE(has(beliefs, "item-unreadable"));
+    REQUIRE(has(events, "item-unreadable"));
     REQUIRE(replica.view()->findServer("a") == nullptr);
     REQUIRE(replica.view()->findServer("b") != nullptr);
     static_cast<void>(replica.applyChanges({server("a", 6)}, 6, kStart, false, kStart));
