--- a/src/celeryramp/proxy/answer_sizes.h
+++ b/src/celeryramp/proxy/answer_sizes.h
@@ -7,23 +7,24 @@
 namespace celeryramp::proxy {
 
 /*!
- * @brief Bytes that a call may take over the link between zones to be answered in time rather than
- * late. Urgent calls may take more.
- * @param priority Of the route; 0 is the most urgent.
+ * @brief Limits the request and answer bytes that a call may transfer between zones in order to
+ * meet its target. The limit falls with decreasing priority.
+ * @param priority Priority of the route; 0 is the most urgent.
+ * @return Limit in bytes.
  */
 [[nodiscard]] std::size_t spillAllowance(int priority) noexcept;
 
-/*! @brief Smoothed size of the answers of each route. */
+/*! @brief Keeps a moving average of the answer size of each route. */
 class AnswerSizes
 {
 public:
-    /*! @brief A server answered a request of this route. */
+    /*! @brief Records the body size of an answer to a request of this route. */
     void onAnswer(const std::string &route, std::size_t bytes);
-    /*! @return Bytes to be expected; 0 before the first answer. */
+    /*! @return Average answer size in bytes; 0 before the first answer. */
     [[nodiscard]] std::size_t expected(const std::string &route) const;
 
 private:
-    std::map<std::string, double> m_sizes;
+    std::map<std::string, double> m_meanBytes;
 };
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/call_course.cpp
+++ b/src/celeryramp/proxy/call_course.cpp
@@ -6,28 +6,29 @@
 
 namespace internal {
 
-/*! Gates asked to meet the target; each costs a round trip and no execution. */
-constexpr int kMaxAsks = 6;
-/*! Refusals of gates after which the news of the others are believed without asking them. */
-constexpr int kTrustingAsks = 2;
-/*! Gates asked to serve a call late. */
-constexpr int kMaxLateAsks = 4;
-/*! Least time left with which another server is tried. */
-constexpr Millis kLeastLeft{30};
-/*! Bounds of the time after which refused callers may come again. */
-constexpr Millis kLeastPause{50};
-constexpr Millis kMostPause{1000};
-constexpr int kServerError = 500;
-constexpr int kLostStatus = 502;
-constexpr int kNotRunStatus = 503;
-constexpr int kTimeoutStatus = 504;
-
-/*! @return Time in which the load that a gate told is worked off. */
-[[nodiscard]] Millis backOff(const GateLoad &load)
+/*! Gates that a call is offered to for an answer within its target. A refused offer costs a round
+ *  trip but no execution. */
+constexpr int kMaxOffers = 6;
+/*! Offers after which a candidate is skipped if its last reported load rules out the target. */
+constexpr int kOffersBeforeTrustingLoad = 2;
+/*! Gates that a call is offered to for an answer after its target. */
+constexpr int kMaxLateOffers = 4;
+/*! Minimum time before the deadline at which another server is tried. */
+constexpr Millis kMinTimeLeft{30};
+/*! Bounds of the retry delay that refused callers are told. */
+constexpr Millis kMinRetryAfter{50};
+constexpr Millis kMaxRetryAfter{1000};
+constexpr int kServerErrorStatus = 500;
+constexpr int kBadGatewayStatus = 502;
+constexpr int kUnavailableStatus = 503;
+constexpr int kGatewayTimeoutStatus = 504;
+
+/*! @return Time that the server needs to work off the calls beyond its slots, within the bounds. */
+[[nodiscard]] Millis retryDelay(const GateLoad &load)
 {
-    const int over = load.running + load.waiting - load.slots;
-    const Millis pause{over > 0 && load.slots > 0 ? over * load.serviceMillis / load.slots : 0};
-    return std::clamp(pause, kLeastPause, kMostPause);
+    const int excess = load.running + load.waiting - load.slots;
+    const Millis delay{excess > 0 && load.slots > 0 ? excess * load.serviceMillis / load.slots : 0};
+    return std::clamp(delay, kMinRetryAfter, kMaxRetryAfter);
 }
 
 } // namespace internal
@@ -39,29 +40,30 @@
 
 Choice CallCourse::choose(const CourseTools &tools, TimePoint now)
 {
-    const auto pool = tools.servers.candidates(m_terms.service, m_asked, now);
-    const auto left = millisBetween(now, m_takesLate ? m_terms.deadline : m_terms.target);
+    const auto pool = tools.servers.candidates(m_terms.service, m_triedServers, now);
+    const auto left = millisBetween(now, m_allowsLate ? m_terms.deadline : m_terms.target);
     return tools.picker.pick(pool, {std::max(left, Millis{0}), m_terms.maySpill}, now);
 }
 
 CallStep CallCourse::advance(const CourseTools &tools, TimePoint now)
 {
     Choice choice;
-    if (!m_takesLate && m_asks < internal::kMaxAsks) {
+    if (!m_allowsLate && m_offers < internal::kMaxOffers) {
         choice = choose(tools, now);
-        const bool isHopeless = now + choice.likely > m_terms.target;
-        if (m_metBusy && m_asks >= internal::kTrustingAsks && isHopeless) {
+        const bool missesTarget = now + choice.likelyLatency > m_terms.target;
+        if (m_sawBusy && m_offers >= internal::kOffersBeforeTrustingLoad && missesTarget) {
             choice = {};
         }
     }
-    if (choice.server == nullptr && m_arrivals == 0 && m_metBusy
-        && m_lateAsks < internal::kMaxLateAsks) {
-        // Nobody can meet the target; a late answer is still worth something to the caller.
-        if (!m_takesLate) {
-            m_takesLate = true;
-            m_asked.clear();
+    if (choice.server == nullptr && m_attempts == 0 && m_sawBusy
+        && m_lateOffers < internal::kMaxLateOffers) {
+        // No gate can meet the target. A late answer is still useful to the caller, so the gates
+        // are offered the call again without the target.
+        if (!m_allowsLate) {
+            m_allowsLate = true;
+            m_triedServers.clear();
         }
-        ++m_lateAsks;
+        ++m_lateOffers;
         choice = choose(tools, now);
     }
     if (choice.server == nullptr) {
@@ -70,30 +72,30 @@
         }
         return giveUp();
     }
-    ++m_asks;
-    m_asked.insert(choice.server->id);
-    m_serverId = choice.server->id;
-    m_expected = choice.likely;
-    tools.picker.onSent(m_serverId);
-    return AskStep{choice.server, m_takesLate};
+    ++m_offers;
+    m_triedServers.insert(choice.server->id);
+    m_pendingServer = choice.server->id;
+    m_likelyLatency = choice.likelyLatency;
+    tools.picker.onSent(m_pendingServer);
+    return AskStep{choice.server, m_allowsLate};
 }
 
 CallStep CallCourse::onReply(const ReplyFrame &reply, const CourseTools &tools, TimePoint now)
 {
-    const bool isGood = reply.kind == ReplyKind::Answer
-            ? reply.answer.status < internal::kServerError
+    const bool isSuccess = reply.kind == ReplyKind::Answer
+            ? reply.answer.status < internal::kServerErrorStatus
             : reply.kind == ReplyKind::NotRun && !reply.reachedServer
                     && reply.reason != Reason::Unreachable;
-    tools.picker.onReply(m_serverId, reply.load, isGood, now);
-    m_serverId.clear();
+    tools.picker.onReply(m_pendingServer, reply.load, isSuccess, now);
+    m_pendingServer.clear();
     m_lastReason = reply.reason;
-    m_metBusy = m_metBusy || reply.reason == Reason::Busy;
+    m_sawBusy = m_sawBusy || reply.reason == Reason::Busy;
     if (reply.kind == ReplyKind::NotRun) {
         return onNotRun(reply, tools, now);
     }
-    ++m_arrivals;
+    ++m_attempts;
     m_mayHaveRun = true;
-    if (!isGood && mayRepeat(tools, now)) {
+    if (!isSuccess && mayRepeat(tools, now)) {
         return advance(tools, now);
     }
     if (reply.kind == ReplyKind::Answer) {
@@ -104,15 +106,15 @@
 
 CallStep CallCourse::onNotRun(const ReplyFrame &reply, const CourseTools &tools, TimePoint now)
 {
-    const auto pause = internal::backOff(reply.load);
-    m_retryAfter = m_retryAfter.count() == 0 ? pause : std::min(m_retryAfter, pause);
+    const auto delay = internal::retryDelay(reply.load);
+    m_retryAfter = m_retryAfter.count() == 0 ? delay : std::min(m_retryAfter, delay);
     if (reply.reachedServer) {
-        ++m_arrivals;
-        if (m_arrivals >= m_terms.maxAttempts || !tools.retries.trySpend(m_terms.service)) {
+        ++m_attempts;
+        if (m_attempts >= m_terms.maxAttempts || !tools.retries.trySpend(m_terms.service)) {
             return giveUp();
         }
     }
-    if (millisBetween(now, m_terms.deadline) < internal::kLeastLeft) {
+    if (millisBetween(now, m_terms.deadline) < internal::kMinTimeLeft) {
         return giveUp();
     }
     return advance(tools, now);
@@ -120,17 +122,17 @@
 
 bool CallCourse::mayRepeat(const CourseTools &tools, TimePoint now) const
 {
-    return m_terms.isIdempotent && m_arrivals < m_terms.maxAttempts
-            && millisBetween(now, m_terms.deadline) >= internal::kLeastLeft
+    return m_terms.isIdempotent && m_attempts < m_terms.maxAttempts
+            && millisBetween(now, m_terms.deadline) >= internal::kMinTimeLeft
             && tools.retries.trySpend(m_terms.service);
 }
 
 GiveUpStep CallCourse::onTimeout(const CourseTools &tools, TimePoint now)
 {
-    m_mayHaveRun = m_mayHaveRun || !m_serverId.empty();
-    if (!m_serverId.empty()) {
-        tools.picker.onNoReply(m_serverId, now);
-        m_serverId.clear();
+    m_mayHaveRun = m_mayHaveRun || !m_pendingServer.empty();
+    if (!m_pendingServer.empty()) {
+        tools.picker.onNoReply(m_pendingServer, now);
+        m_pendingServer.clear();
     }
     m_lastReason = Reason::TimedOut;
     return giveUp();
@@ -138,21 +140,22 @@
 
 void CallCourse::onCallerLeft(const CourseTools &tools)
 {
-    if (!m_serverId.empty()) {
-        tools.picker.onAbandoned(m_serverId);
-        m_serverId.clear();
+    if (!m_pendingServer.empty()) {
+        tools.picker.onAbandoned(m_pendingServer);
+        m_pendingServer.clear();
     }
 }
 
 GiveUpStep CallCourse::giveUp() const
 {
     if (m_lastReason == Reason::TimedOut) {
-        return {internal::kTimeoutStatus, m_lastReason, std::nullopt};
+        return {internal::kGatewayTimeoutStatus, m_lastReason, std::nullopt};
     }
     if (m_mayHaveRun) {
-        return {internal::kLostStatus, m_lastReason, std::nullopt};
+        return {internal::kBadGatewayStatus, m_lastReason, std::nullopt};
     }
-    return {internal::kNotRunStatus, m_lastReason, std::max(m_retryAfter, internal::kLeastPause)};
+    return {internal::kUnavailableStatus, m_lastReason,
+            std::max(m_retryAfter, internal::kMinRetryAfter)};
 }
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -12,51 +12,51 @@
 
 namespace celeryramp::proxy {
 
-/*! @brief What a call may do, from its route and its caller. */
+/*! @brief Limits and options of a call, from its route and its caller. */
 struct CallTerms
 {
     std::string service;
     bool isIdempotent = false;
-    int maxAttempts = 1; /*!< Servers that it may be handed to. */
-    TimePoint target; /*!< A later answer misses the route's target. */
+    int maxAttempts = 1; /*!< Maximum number of servers that may receive it. */
+    TimePoint target; /*!< Latest time of an answer within the route's target latency. */
     TimePoint deadline;
-    bool maySpill = true; /*!< To be in time it is worth its bytes between zones. */
+    bool maySpill = true; /*!< Servers of other zones may be used to meet the target. */
 };
 
-/*! @brief Next step of a call: ask the gate of this server. */
+/*! @brief Next step of a call: offer it to the gate of this server. */
 struct AskStep
 {
     const directory::BackendServer *server = nullptr;
-    bool mayBeLate = false; /*!< The gate may keep it beyond its target. */
+    bool mayBeLate = false; /*!< The gate may queue it beyond its target. */
 };
 
-/*! @brief Next step of a call: pass the server's answer on. */
+/*! @brief Next step of a call: forward the server's answer to the caller. */
 struct AnswerStep
 {
 };
 
-/*! @brief Next step of a call: it ends without a server's answer. */
+/*! @brief Next step of a call: end it without an answer of a server. */
 struct GiveUpStep
 {
     int status = 503;
     Reason reason = Reason::None;
-    std::optional<Millis> retryAfter; /*!< Only when nothing ran and nothing will. */
+    std::optional<Millis> retryAfter; /*!< Set only if no server ran the call or will run it. */
 };
 
 using CallStep = std::variant<AskStep, AnswerStep, GiveUpStep>;
 
-/*! @brief Servers that a call may be sent to now. */
+/*! @brief Provides the servers that a call may be sent to. */
 class CandidateSource
 {
 public:
     virtual ~CandidateSource() = default;
-    /*! @param asked Servers to be marked as asked, by id. */
+    /*! @param asked Ids of the servers to mark with `Candidate::isAsked`. */
     [[nodiscard]] virtual std::vector<Candidate> candidates(const std::string &service,
                                                             const std::set<std::string> &asked,
                                                             TimePoint now) const = 0;
 };
 
-/*! @brief What the courses of all calls of a node share. */
+/*! @brief Objects that all calls of a node share. */
 struct CourseTools
 {
     ServerPicker &picker;
@@ -65,37 +65,40 @@
 };
 
 /*!
- * @brief The course of one call from gate to gate to its end.
+ * @brief Selects the servers for one call and decides on retries until the call ends.
  *
- * Gates are first asked whether they can meet the target. When none can, one or two are asked
- * again to serve it late. What was handed to a server counts as an attempt there; it is repeated
- * only if it may run twice, within the attempts of its route and the retry budget. A call that may
- * have run never ends as not run.
+ * The call is first offered to gates that may meet its target. If all of them refuse and no server
+ * received it, a few gates are offered it again for an answer after the target. A call that reached
+ * a server counts as an attempt. It is retried after a failure only if it is idempotent, and in all
+ * cases only within the attempts of its route and the retry budget. A call that a server may have
+ * executed is never reported as not run.
  */
 class CallCourse
 {
 public:
     explicit CallCourse(CallTerms terms) : m_terms{std::move(terms)} { }
 
-    /*! @brief The call is new. */
+    /*! @return The first step of the call. */
     [[nodiscard]] CallStep begin(const CourseTools &tools, TimePoint now);
-    /*! @brief The gate that was asked replied, or its node was lost. */
+    /*! @brief Handles the reply of the gate, or the loss of its node. @return The next step. */
     [[nodiscard]] CallStep onReply(const ReplyFrame &reply, const CourseTools &tools,
                                    TimePoint now);
-    /*! @brief The deadline of the call or the timeout of its route has come. */
+    /*! @brief Ends the call when its deadline or the timeout of its route is reached. */
     [[nodiscard]] GiveUpStep onTimeout(const CourseTools &tools, TimePoint now);
-    /*! @brief The caller left. */
+    /*! @brief Handles that the caller closed its connection or cancelled the call. */
     void onCallerLeft(const CourseTools &tools);
 
-    /*! @return Server whose gate is asked now; empty when none is. */
-    [[nodiscard]] const std::string &askedServer() const noexcept { return m_serverId; }
-    [[nodiscard]] int asks() const noexcept { return m_asks; }
-    [[nodiscard]] int arrivals() const noexcept { return m_arrivals; }
+    /*! @return Id of the server whose gate has yet to reply; empty if there is none. */
+    [[nodiscard]] const std::string &askedServer() const noexcept { return m_pendingServer; }
+    /*! @return Number of gates that the call was offered to. */
+    [[nodiscard]] int asks() const noexcept { return m_offers; }
+    /*! @return Number of attempts that reached a server. */
+    [[nodiscard]] int arrivals() const noexcept { return m_attempts; }
     [[nodiscard]] Millis retryAfter() const noexcept { return m_retryAfter; }
-    /*! @return Time within which the last choice of a server made an answer likely. */
-    [[nodiscard]] Millis expected() const noexcept { return m_expected; }
-    /*! @return True once gates were asked to serve it late. */
-    [[nodiscard]] bool takesLate() const noexcept { return m_takesLate; }
+    /*! @return Likely latency of the last chosen server, see `Choice`. */
+    [[nodiscard]] Millis expected() const noexcept { return m_likelyLatency; }
+    /*! @return True once the call is offered for an answer after its target. */
+    [[nodiscard]] bool takesLate() const noexcept { return m_allowsLate; }
     [[nodiscard]] const CallTerms &terms() const noexcept { return m_terms; }
 
 private:
@@ -107,17 +110,18 @@
     [[nodiscard]] GiveUpStep giveUp() const;
 
     CallTerms m_terms;
-    std::set<std::string> m_asked; /*!< Servers whose gates were asked, by id. */
-    std::string m_serverId;
-    int m_asks = 0;
-    int m_lateAsks = 0;
-    int m_arrivals = 0; /*!< At servers. */
+    std::set<std::string>
+            m_triedServers; /*!< Ids of the servers whose gates were offered the call. */
+    std::string m_pendingServer;
+    int m_offers = 0;
+    int m_lateOffers = 0;
+    int m_attempts = 0; /*!< That reached a server. */
     bool m_mayHaveRun = false;
-    bool m_takesLate = false;
-    bool m_metBusy = false; /*!< Some gate could not serve it in time. */
+    bool m_allowsLate = false;
+    bool m_sawBusy = false; /*!< A gate refused because it could not serve the call in time. */
     Reason m_lastReason = Reason::None;
     Millis m_retryAfter{0};
-    Millis m_expected{0};
+    Millis m_likelyLatency{0};
 };
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/crash_registry.cpp
+++ b/src/celeryramp/proxy/crash_registry.cpp
@@ -11,28 +11,28 @@
 
 void CrashRegistry::onLost(std::uint64_t digest, TimePoint now)
 {
-    m_lost.emplace_back(digest, now);
+    m_lostRequests.emplace_back(digest, now);
 }
 
 std::vector<SuspectFrame> CrashRegistry::onServerDown(const std::string &serverId, TimePoint now)
 {
     std::vector<SuspectFrame> suspects;
-    // The time makes crashes of this node's predecessors and its own differ.
-    const auto crash = static_cast<std::uint64_t>(now.time_since_epoch().count()) + ++m_crashes;
-    for (const auto &[digest, lostAt] : m_lost) {
-        if (millisBetween(lostAt, now) <= kCrashSign) {
+    // The time keeps the ids distinct from those of earlier processes of this node.
+    const auto crash = static_cast<std::uint64_t>(now.time_since_epoch().count()) + ++m_crashCount;
+    for (const auto &[digest, lostAt] : m_lostRequests) {
+        if (millisBetween(lostAt, now) <= kMaxDetectionDelay) {
             suspects.push_back({digest, serverId, crash});
         }
     }
-    m_lost.clear();
+    m_lostRequests.clear();
     return suspects;
 }
 
 void CrashRegistry::onSuspect(const SuspectFrame &suspect, TimePoint now)
 {
-    auto &held = m_suspects[suspect.digest];
-    held.crashes.emplace(suspect.serverId, suspect.crash);
-    held.lastAt = now;
+    auto &entry = m_suspects[suspect.digest];
+    entry.crashes.emplace(suspect.serverId, suspect.crash);
+    entry.lastAt = now;
 }
 
 void CrashRegistry::onServed(std::uint64_t digest)
@@ -44,17 +44,18 @@
 {
     const auto it = m_suspects.find(digest);
     return it != m_suspects.end() && it->second.crashes.size() >= kCrashesToQuarantine
-            && millisBetween(it->second.lastAt, now) < kCrashMemory;
+            && millisBetween(it->second.lastAt, now) < kCrashRetention;
 }
 
 void CrashRegistry::sweep(TimePoint now)
 {
-    while (!m_lost.empty() && millisBetween(m_lost.front().second, now) > kCrashSign) {
-        m_lost.pop_front();
+    while (!m_lostRequests.empty()
+           && millisBetween(m_lostRequests.front().second, now) > kMaxDetectionDelay) {
+        m_lostRequests.pop_front();
     }
     for (auto it = m_suspects.begin(); it != m_suspects.end();) {
-        it = millisBetween(it->second.lastAt, now) >= kCrashMemory ? m_suspects.erase(it)
-                                                                   : std::next(it);
+        it = millisBetween(it->second.lastAt, now) >= kCrashRetention ? m_suspects.erase(it)
+                                                                      : std::next(it);
     }
 }
 
--- a/src/celeryramp/proxy/crash_registry.h
+++ b/src/celeryramp/proxy/crash_registry.h
@@ -14,34 +14,35 @@
 
 namespace celeryramp::proxy {
 
-/*! Servers that went down under a request before it is refused. Two may be chance: whatever else
- *  was under way on a crashing server is suspected too. */
+/*! Crashes during a request after which it is quarantined. Two may be a coincidence, because every
+ *  request that was running on a crashed server is suspected. */
 inline constexpr std::size_t kCrashesToQuarantine = 3;
-/*! Time for which a crash is held against a request. */
-inline constexpr Millis kCrashMemory{120'000};
-/*! Time between the loss of a request and the sign that its server is down. */
-inline constexpr Millis kCrashSign{1500};
+/*! Time after its latest crash at which a request is no longer suspected. */
+inline constexpr Millis kCrashRetention{120'000};
+/*! Maximum time between the loss of a request and the detection that its server is down. */
+inline constexpr Millis kMaxDetectionDelay{1500};
 
-/*! @return What makes a request the same when it comes again: account, method, target, body. */
+/*! @return Hash of account, method, target and body, which is the same for a repeated request. */
 [[nodiscard]] std::uint64_t requestDigest(const std::string &account, const http::Request &request);
 
-/*! @brief Finds requests that crash the servers that run them. */
+/*! @brief Detects requests that crash the servers that run them. */
 class CrashRegistry
 {
 public:
-    /*! @brief A request's connection ended without an answer. */
+    /*! @brief Records a request whose connection ended without an answer. */
     void onLost(std::uint64_t digest, TimePoint now);
-    /*! @brief The own server is down. @return Facts for all nodes: what was lost just before. */
+    /*! @brief Handles that the server of this node is down. @return One frame for each request lost
+     * within `kMaxDetectionDelay`, to be sent to all nodes. */
     [[nodiscard]] std::vector<SuspectFrame> onServerDown(const std::string &serverId,
                                                          TimePoint now);
-    /*! @brief A node tells of a request that was under way when its server went down. */
+    /*! @brief Records a node's report that a request was running when its server went down. */
     void onSuspect(const SuspectFrame &suspect, TimePoint now);
-    /*! @brief A server answered the request: it does not crash servers. */
+    /*! @brief Clears the suspicion after a server has answered the request. */
     void onServed(std::uint64_t digest);
     [[nodiscard]] bool isQuarantined(std::uint64_t digest, TimePoint now) const;
-    /*! @return True while nothing is held against any request, which spares the digest. */
+    /*! @return True if no request is suspected, so that digests need not be computed. */
     [[nodiscard]] bool isEmpty() const noexcept { return m_suspects.empty(); }
-    /*! @brief Forgets old crashes. */
+    /*! @brief Removes expired losses and suspects. */
     void sweep(TimePoint now);
 
 private:
@@ -51,9 +52,9 @@
         TimePoint lastAt;
     };
 
-    std::deque<std::pair<std::uint64_t, TimePoint>> m_lost;
+    std::deque<std::pair<std::uint64_t, TimePoint>> m_lostRequests;
     std::map<std::uint64_t, Suspect> m_suspects;
-    std::uint64_t m_crashes = 0;
+    std::uint64_t m_crashCount = 0;
 };
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/dialect.h
+++ b/src/celeryramp/proxy/dialect.h
@@ -11,26 +11,26 @@
 
 namespace celeryramp::proxy {
 
-/*! @brief What a caller says about itself and its request. */
+/*! @brief Metadata in the headers of a caller's request. */
 struct CallerFacts
 {
-    std::string requestId; /*!< Empty when it names none. */
-    std::optional<Millis> deadline; /*!< How long the caller waits. */
+    std::string requestId; /*!< Empty if there is none. */
+    std::optional<Millis> deadline; /*!< Time that the caller waits for an answer. */
     std::optional<std::string> key; /*!< API key presented. */
 };
 
-/*! @brief What an answer of a server says beside its status and body. */
+/*! @brief Metadata in the headers and the status of a server's answer. */
 struct AnswerFacts
 {
-    std::string requestId; /*!< The request it answers; empty when it does not say. */
-    std::string serverId; /*!< The server that answered; empty when it does not say. */
+    std::string requestId; /*!< Request that it answers; empty if not given. */
+    std::string serverId; /*!< Server that answered; empty if not given. */
     bool isNotRun = false; /*!< The server did not run the request. */
-    bool isSigned = false; /*!< Bears the mark of a server of the mesh. */
-    bool isOtherServer = false; /*!< Another server than the one meant is at the address. */
-    std::optional<Millis> coldFor; /*!< How long the server stays cold. */
+    bool isSigned = false; /*!< Has the header that only servers of the mesh set. */
+    bool isOtherServer = false; /*!< The server at the address is not the intended one. */
+    std::optional<Millis> coldFor; /*!< Remaining time for which the server is cold. */
 };
 
-/*! @brief An answer of the mesh itself. */
+/*! @brief An answer that the node generates itself. */
 struct OwnAnswer
 {
     int status = 503;
@@ -39,7 +39,7 @@
     std::optional<Millis> retryAfter;
 };
 
-/*! @brief Translates between the product and the headers of one deployment. */
+/*! @brief Maps request and answer metadata to the HTTP headers of a deployment. */
 class Dialect
 {
 public:
@@ -49,13 +49,13 @@
     virtual ~Dialect() = default;
 
     [[nodiscard]] virtual CallerFacts readCaller(const http::Headers &headers) const = 0;
-    /*! @brief Drops what only the mesh may say to a server, and the caller's key. */
+    /*! @brief Removes the headers that only the mesh may send to a server, and the caller's key. */
     virtual void stripCaller(http::Headers &headers) const = 0;
-    /*! @return The request for the server. @param left Time the server may take. */
+    /*! @return The request for the server. @param left Time left until the deadline. */
     [[nodiscard]] virtual http::Request toServer(const CallFrame &call, Millis left) const = 0;
     [[nodiscard]] virtual AnswerFacts readAnswer(const http::Answer &answer) const = 0;
     [[nodiscard]] virtual http::Answer ownAnswer(const OwnAnswer &answer) const = 0;
-    /*! @return A request that asks the server how it is. */
+    /*! @return A health check request for a server of this service. */
     [[nodiscard]] virtual http::Request healthProbe(const directory::Service &service) const = 0;
 };
 
--- a/src/celeryramp/proxy/fleet_limiter.cpp
+++ b/src/celeryramp/proxy/fleet_limiter.cpp
@@ -7,23 +7,23 @@
 
 namespace internal {
 
-/*! Time over which tokens are given out and debts worked off; a few times the age of the news. */
-constexpr double kLevelSeconds = 1.0;
+/*! Time over which tokens are spent and debt is recovered; a few times the age of the levels. */
+constexpr double kCorrectionSeconds = 1.0;
 
 } // namespace internal
 
-bool FleetLimiter::admitAlone(Account &state, const directory::ClientAccount &account,
-                              std::size_t nodes, TimePoint now)
+bool FleetLimiter::admitLocally(Account &state, const directory::ClientAccount &account,
+                                std::size_t nodes, TimePoint now)
 {
     const double share = 1.0 / static_cast<double>(std::max<std::size_t>(1, nodes));
-    const double size = std::max(1.0, account.burst * share);
-    const double elapsed = std::clamp(secondsBetween(state.filledAt, now), 0.0, 3600.0);
-    state.tokens = std::min(size, state.tokens + elapsed * account.rate * share);
-    state.filledAt = now;
-    if (state.tokens < 1.0) {
+    const double capacity = std::max(1.0, account.burst * share);
+    const double elapsed = std::clamp(secondsBetween(state.localRefilledAt, now), 0.0, 3600.0);
+    state.localTokens = std::min(capacity, state.localTokens + elapsed * account.rate * share);
+    state.localRefilledAt = now;
+    if (state.localTokens < 1.0) {
         return false;
     }
-    state.tokens -= 1.0;
+    state.localTokens -= 1.0;
     return true;
 }
 
@@ -34,12 +34,11 @@
     state.unreported.demanded += 1.0;
     bool isAdmitted = true;
     if (account.rate > 0.0) {
-        if (!m_hasNews || millisBetween(m_newsAt, now) > kLevelsFresh) {
-            isAdmitted = admitAlone(state, account, nodes, now);
+        if (!m_hasLevels || millisBetween(m_levelsAt, now) > kMaxLevelsAge) {
+            isAdmitted = admitLocally(state, account, nodes, now);
         } else if (state.isLimited && state.demand > 0.0) {
-            // Tokens are given out over the time that news take, not all at once: all nodes see
-            // the same tokens.
-            const double allowed = state.rate + state.level / internal::kLevelSeconds;
+            // All nodes see the same tokens, so they are spent gradually rather than at once.
+            const double allowed = state.rate + state.level / internal::kCorrectionSeconds;
             isAdmitted = draw < std::max(0.0, allowed) / state.demand;
         }
     }
@@ -61,7 +60,7 @@
     return "rate=" + number(account.rate) + " burst=" + number(account.burst)
             + " level=" + number(state.level) + " demand=" + number(state.demand)
             + " fleet_rate=" + number(state.rate) + " news_age_ms="
-            + (m_hasNews ? std::to_string(millisBetween(m_newsAt, now).count()) : "none");
+            + (m_hasLevels ? std::to_string(millisBetween(m_levelsAt, now).count()) : "none");
 }
 
 UsageFrame FleetLimiter::takeReport()
@@ -78,13 +77,13 @@
 
 void FleetLimiter::onLevels(const LevelsFrame &levels, TimePoint now)
 {
-    m_hasNews = true;
-    m_newsAt = now;
+    m_hasLevels = true;
+    m_levelsAt = now;
     for (auto &[name, state] : m_accounts) {
         state.isLimited = false;
-        // Also the bucket that holds without news starts from what was known last.
-        state.filledAt = now;
-        state.tokens = 1.0;
+        // The local bucket takes over from this state when no further levels arrive.
+        state.localRefilledAt = now;
+        state.localTokens = 1.0;
     }
     for (const auto &[name, level] : levels.accounts) {
         auto &state = m_accounts[name];
--- a/src/celeryramp/proxy/frame_codec.cpp
+++ b/src/celeryramp/proxy/frame_codec.cpp
@@ -146,8 +146,8 @@
 void append(Json &out, const UsageFrame &frame)
 {
     out.push_back(frame.zone);
-    out.push_back(frame.heardNodes);
-    out.push_back(frame.isQuiet);
+    out.push_back(frame.liveNodes);
+    out.push_back(frame.isIdle);
     out.push_back(frame.sentAt);
     for (const auto &[account, usage] : frame.accounts) {
         out.push_back(account);
@@ -160,8 +160,8 @@
 {
     UsageFrame frame;
     frame.zone = json.at(1).get<std::string>();
-    frame.heardNodes = json.at(2).get<int>();
-    frame.isQuiet = json.at(3).get<bool>();
+    frame.liveNodes = json.at(2).get<int>();
+    frame.isIdle = json.at(3).get<bool>();
     frame.sentAt = json.at(4).get<std::int64_t>();
     for (std::size_t i = 5; i + 2 < json.size(); i += 3) {
         frame.accounts[json[i].get<std::string>()]
@@ -285,7 +285,7 @@
 
 using ReadFrame = Frame (*)(const Json &);
 
-/*! Readers by the index of the type in `Frame`. */
+/*! Decoders by the index of the type in `Frame`. */
 constexpr std::array<ReadFrame, std::variant_size_v<Frame>> kReaders{
         readCall,        readReply,     readCancel,  readLeaving, readUsage, readLevels,
         readSyncRequest, readSyncReply, readSuspect, readNews,    readReader};
--- a/src/celeryramp/proxy/frame_codec.h
+++ b/src/celeryramp/proxy/frame_codec.h
@@ -8,16 +8,16 @@
 
 namespace celeryramp::proxy {
 
-/*! @brief Why a frame cannot be read. */
+/*! @brief Reason why a frame cannot be decoded. */
 struct FrameError
 {
     std::string reason;
 };
 
-/*! @return The frame as a CBOR array, its kind first. */
+/*! @return The frame as a CBOR array that begins with the index of its type in `Frame`. */
 [[nodiscard]] std::string encodeFrame(const Frame &frame);
 
-/*! @return The frame, or why it cannot be read. */
+/*! @return The frame, or an error if it cannot be decoded. */
 [[nodiscard]] Result<Frame, FrameError> decodeFrame(std::string_view bytes);
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/frames.h
+++ b/src/celeryramp/proxy/frames.h
@@ -14,29 +14,30 @@
 
 namespace celeryramp::proxy {
 
-/*! @brief A request handed to the gate of a server. */
+/*! @brief A call offered to the gate of a server. */
 struct CallFrame
 {
-    std::uint64_t id = 0; /*!< Of the sending node; names the call in replies and cancels. */
+    std::uint64_t id
+            = 0; /*!< Unique at the sending node; identifies the call in replies and cancels. */
     std::string requestId;
-    std::string serverId; /*!< The start of a server that is meant. */
+    std::string serverId; /*!< Intended server instance; changes with each start. */
     std::string service;
     std::string account; /*!< Empty for open routes. */
     std::string callerService;
-    Millis deadline{0}; /*!< Left until the caller gives up or the route's timeout. */
-    Millis target{0}; /*!< Left until the answer is late; may be negative. */
-    int rank = 0; /*!< 0 goes first. */
-    bool isNested = false; /*!< Sent by a server that holds a slot meanwhile. */
+    Millis deadline{0}; /*!< Time left until the caller's deadline or the route's timeout. */
+    Millis target{0}; /*!< Time left to meet the target latency; may be negative. */
+    int rank = 0; /*!< Priority; 0 is the most urgent. */
+    bool isNested = false; /*!< Sent by a server that occupies a slot until the answer. */
     bool isIdempotent = false;
-    bool mayQueue = true; /*!< False: refuse rather than keep it waiting, others can be asked. */
-    http::Request request; /*!< Without fields that concern one connection or identify callers. */
+    bool mayQueue = true; /*!< False: refuse it if the target cannot be met. */
+    http::Request request; /*!< Without hop-by-hop headers and credentials. */
 };
 
-/*! @brief How a gate ended a call. */
+/*! @brief Outcome of a call at a gate. */
 enum class ReplyKind : std::uint8_t {
-    Answer, /*!< The server's whole answer. */
-    NotRun, /*!< No server ran it and none will. */
-    Failed /*!< It may have run. */
+    Answer, /*!< The server answered completely. */
+    NotRun, /*!< The server did not execute it and will not. */
+    Failed /*!< The server may have executed it. */
 };
 
 /*! @brief A gate's reply to a call. */
@@ -45,12 +46,12 @@
     std::uint64_t id = 0;
     ReplyKind kind = ReplyKind::NotRun;
     Reason reason = Reason::None;
-    bool reachedServer = false; /*!< The server itself refused; counts as an arrival there. */
+    bool reachedServer = false; /*!< The server itself refused; counts as an attempt. */
     GateLoad load;
     http::Answer answer;
 };
 
-/*! @return A reply that says that nothing of the call reached a server. */
+/*! @return A reply for a call of which nothing reached a server. */
 [[nodiscard]] inline ReplyFrame notRunReply(std::uint64_t id, Reason reason)
 {
     ReplyFrame reply;
@@ -59,87 +60,88 @@
     return reply;
 }
 
-/*! @brief The caller of this call left. */
+/*! @brief Cancels a call whose caller no longer waits. */
 struct CancelFrame
 {
     std::uint64_t id = 0;
 };
 
-/*! @brief The node that sends this takes no new calls. */
+/*! @brief Announces that the sending node accepts no new calls. */
 struct LeavingFrame
 {
 };
 
-/*! @brief Requests of one account since the last report. */
+/*! @brief Number of requests of one account since the last report. */
 struct AccountUsage
 {
     double admitted = 0.0;
     double demanded = 0.0;
 };
 
-/*! @brief Usage of all accounts at one node, or in one zone. */
+/*! @brief Usage of all accounts at one node or in one zone. */
 struct UsageFrame
 {
-    std::string zone; /*!< Set when the figures are of a whole zone. */
-    int heardNodes = 0; /*!< Nodes of the zone that its sender hears, with itself. */
-    bool isQuiet = false; /*!< Nobody of the zone asks for anything; it reports seldom. */
-    std::int64_t sentAt = 0; /*!< On the clock of the sending node; echoed by the levels. */
+    std::string zone; /*!< Set only if the report covers a whole zone. */
+    int liveNodes = 0; /*!< Nodes of the zone that report to the sender, with itself. */
+    bool isIdle = false; /*!< The zone has no requests, so it reports at longer intervals. */
+    std::int64_t sentAt = 0; /*!< Nanoseconds on the sender's clock; echoed in the levels. */
     std::map<std::string, AccountUsage> accounts;
 };
 
-/*! @brief State of an account's limit over the fleet. */
+/*! @brief Fleet-wide state of an account's rate limit. */
 struct AccountLevel
 {
-    double level = 0.0; /*!< Requests that may still be admitted; negative when overdrawn. */
-    double demand = 0.0; /*!< Requests a second over all nodes that are heard of. */
-    double rate = 0.0; /*!< Requests a second that these may admit together. */
+    double level = 0.0; /*!< Tokens of the fleet-wide bucket; negative when overdrawn. */
+    double demand = 0.0; /*!< Requests per second over all live nodes. */
+    double rate = 0.0; /*!< Requests per second that these may admit together. */
 };
 
-/*! @brief State of the accounts that are not far below their limits. */
+/*! @brief Fleet-wide state of the rate-limited accounts with recent demand. */
 struct LevelsFrame
 {
-    std::int64_t askedAt = 0; /*!< Of the report this answers, on the clock of its sender. */
-    std::int64_t revision = 0; /*!< Of what is published, as the answering node knows it. */
-    Millis age{0}; /*!< Of that knowledge. */
+    std::int64_t askedAt = 0; /*!< `sentAt` of the report that this answers. */
+    std::int64_t revision = 0; /*!< Directory revision known to the sender. */
+    Millis age{0}; /*!< Time since that revision was last confirmed. */
     std::map<std::string, AccountLevel> accounts;
 };
 
-/*! @brief Asks a peer for what is published after a revision. */
+/*! @brief Requests the directory items that changed after a revision. */
 struct SyncRequestFrame
 {
     std::int64_t revision = 0;
-    std::int64_t askedAt = 0; /*!< On the clock of the asking node; echoed by the reply. */
+    std::int64_t askedAt = 0; /*!< Nanoseconds on the sender's clock; echoed in the reply. */
 };
 
-/*! @brief What is published, as a peer knows it. */
+/*! @brief The directory items known to a peer. */
 struct SyncReplyFrame
 {
     std::int64_t revision = 0;
-    std::int64_t askedAt = 0; /*!< Of the request, in nanoseconds of the asking node's clock. */
-    Millis age{0}; /*!< Of the peer's knowledge when it sent this. */
-    std::vector<directory::ItemChange> items; /*!< All keys; values only where newer than asked. */
+    std::int64_t askedAt = 0; /*!< `askedAt` of the request. */
+    Millis age{0}; /*!< Time since the peer's revision was last confirmed. */
+    std::vector<directory::ItemChange>
+            items; /*!< All keys; values only of items newer than requested. */
 };
 
-/*! @brief What a reader of the platform has just read, for the nodes of its zone. Without changes
- * it announces news that are too large to be passed on. */
+/*! @brief Directory changes that a node has read from the platform, for the nodes of its zone.
+ * Without changes it announces a revision whose changes are too large to send. */
 struct NewsFrame
 {
-    std::int64_t after = 0; /*!< Revision that the changes follow. */
+    std::int64_t after = 0; /*!< Revision that the changes apply to. */
     std::int64_t revision = 0;
-    std::vector<directory::ItemChange> changes; /*!< Values as deltas where `bases` says so. */
-    std::vector<std::int64_t>
-            bases; /*!< For each change the revision its delta is against, or 0. */
+    std::vector<directory::ItemChange>
+            changes; /*!< A value is a delta if its entry in `bases` is not 0. */
+    std::vector<std::int64_t> bases; /*!< Base revision of each change's delta, or 0. */
 };
 
-/*! @brief A request was under way when a server crashed. */
+/*! @brief Reports a request that was running when a server crashed. */
 struct SuspectFrame
 {
     std::uint64_t digest = 0; /*!< See `requestDigest`. */
     std::string serverId;
-    std::uint64_t crash = 0; /*!< Tells crashes of one server apart. */
+    std::uint64_t crash = 0; /*!< Distinguishes crashes of the same server. */
 };
 
-/*! @brief Whether the node that sends this can read the platform. */
+/*! @brief Announces whether the sending node can read the platform. */
 struct ReaderFrame
 {
     bool canRead = false;
--- a/src/celeryramp/proxy/fwd.h
+++ b/src/celeryramp/proxy/fwd.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the proxy module: decisions about requests on their way from a caller
- *  to a backend server.
+ *  Forward declarations of the proxy module: rate limiting, load balancing, admission and retries
+ *  of requests between callers and backend servers.
  */
 
 namespace celeryramp::proxy {
--- a/src/celeryramp/proxy/gate_load.h
+++ b/src/celeryramp/proxy/gate_load.h
@@ -2,15 +2,15 @@
 
 namespace celeryramp::proxy {
 
-/*! @brief How busy a gate is, as it says with each reply. */
+/*! @brief Load of a gate, sent with each of its replies. */
 struct GateLoad
 {
     int running = 0;
     int waiting = 0;
     int slots = 1;
-    int serviceMillis = 0; /*!< Smoothed time at the server. */
-    int coldWaitMillis = -1; /*!< Until a cold server bears another request; -1 when warm. */
-    int badPercent = 0; /*!< Smoothed share of what the server was handed that it failed. */
+    int serviceMillis = 0; /*!< Moving average of the service time. */
+    int coldWaitMillis = -1; /*!< Time until a cold server can take another call; -1 if warm. */
+    int badPercent = 0; /*!< Moving average of the share of failed calls. */
 };
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/handover_end.h
+++ b/src/celeryramp/proxy/handover_end.h
@@ -4,12 +4,13 @@
 
 namespace celeryramp::proxy {
 
-/*! @brief How a call that was handed to a server ended there, as far as it tells of the server. */
+/*! @brief Outcome of a call that was handed over to a server, as evidence of the server's health.
+ */
 enum class HandoverEnd : std::uint8_t {
     Served,
-    Failed, /*!< Refused, answered with an error, lost or garbled. */
-    Cancelled, /*!< Given up from outside; the time it took is a lower bound. */
-    NotSent /*!< Tells nothing of the server. */
+    Failed, /*!< Refused, answered with a server error, lost or malformed. */
+    Cancelled, /*!< Cancelled by the caller; the elapsed time is a lower bound. */
+    NotSent /*!< Says nothing about the server. */
 };
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/reason.h
+++ b/src/celeryramp/proxy/reason.h
@@ -6,31 +6,31 @@
 
 namespace celeryramp::proxy {
 
-/*! @brief Why a request did not get the answer of a server. */
+/*! @brief Reason why a request did not get the answer of a server. */
 enum class Reason : std::uint8_t {
     None,
-    NoConfiguration, /*!< This node knows no configuration yet. */
-    StaleKeys, /*!< Knowledge of API keys is too old to rely on. */
+    NoConfiguration, /*!< This node has received no configuration yet. */
+    StaleKeys, /*!< The known API keys are too old to rely on. */
     UnknownKey,
     NoRoute,
     BadRequest,
-    OverLimit, /*!< The account's limit is used up. */
-    NoServer, /*!< No server of the service may be used. */
-    Busy, /*!< Not to be served in time. */
+    OverLimit, /*!< The account exceeded its rate limit. */
+    NoServer, /*!< No server of the service is available. */
+    Busy, /*!< The gate cannot serve it in time. */
     Draining, /*!< The server or its node is leaving. */
     Evacuated, /*!< The zone of the server is evacuated. */
-    WrongServer, /*!< Another server is at the address. */
-    Shed, /*!< The server itself refused for load. */
-    Unreachable, /*!< Nothing was sent: no connection to the node or the server. */
+    WrongServer, /*!< The server at the address is not the intended one. */
+    Shed, /*!< The server itself refused it because of its load. */
+    Unreachable, /*!< Nothing was sent, as there was no connection to the node or server. */
     Quarantined, /*!< The request crashes the servers that run it. */
-    Lost, /*!< The connection ended before a whole answer. */
-    Malformed, /*!< What the server sent is no answer to the request. */
+    Lost, /*!< The connection ended before the answer was complete. */
+    Malformed, /*!< The server sent an invalid answer. */
     DeadlinePassed,
     TimedOut, /*!< The route's timeout was reached. */
-    Cancelled /*!< The caller left. */
+    Cancelled /*!< The caller no longer waits. */
 };
 
-/*! @return The name used in logs and metrics. */
+/*! @return Name of the reason in logs and metrics. */
 [[nodiscard]] constexpr std::string_view reasonName(Reason reason) noexcept
 {
     constexpr std::array<std::string_view, 20> kNames{
--- a/src/celeryramp/proxy/server_gate.cpp
+++ b/src/celeryramp/proxy/server_gate.cpp
@@ -7,21 +7,21 @@
 
 namespace internal {
 
-/*! Weight of the newest time at the server in the smoothed one; about the last 10 answers. */
+/*! Weight of the newest sample in the average service time, which covers about 10 answers. */
 constexpr double kServiceWeight = 0.1;
-/*! Weight of the newest end in the share of failures; about the last 12. */
-constexpr double kBadWeight = 0.08;
-/*! Failures fade over this time, so that a server that was bad is tried again. */
-constexpr double kBadMemorySeconds = 3.0;
-/*! A call given up after this many times the smoothed time counts as failed by the server. */
+/*! Weight of the newest sample in the share of failures, which covers about 12 calls. */
+constexpr double kFailureWeight = 0.08;
+/*! Time constant of the decay of the share of failures, so that a failing server is retried. */
+constexpr double kFailureDecaySeconds = 3.0;
+/*! A call cancelled after this multiple of the average service time counts as failed. */
 constexpr double kHungFactor = 3.0;
-/*! Time over which the use of the server by calls in time is measured; a few calls long. */
-constexpr double kUseSeconds = 1.0;
-/*! Least part of the server that late calls are expected to get. */
-constexpr double kLeastGap = 0.02;
-/*! Part of the smoothed time at the server that a call needs at least; half of the calls of a
- *  usual spread take less than 0.8 of the mean. */
-constexpr double kQuickShare = 0.5;
+/*! Time constant of the utilization by timely calls; a few service times long. */
+constexpr double kUtilizationSeconds = 1.0;
+/*! Minimum share of the server's capacity that late calls are assumed to get. */
+constexpr double kMinLateShare = 0.02;
+/*! Assumed minimum service time of a call as a share of the average. With a usual distribution,
+ *  half of the calls take less than 0.8 of the average. */
+constexpr double kMinServiceShare = 0.5;
 
 } // namespace internal
 
@@ -33,21 +33,21 @@
 
 bool ServerGate::isLate(const GateCall &call, TimePoint now) const
 {
-    // The sender of a nested call is late only when its own deadline is near.
-    return now + quickMillis() > (call.isNested ? call.deadline : call.target);
+    // A nested call has no target of its own that matters; it is late only near its deadline.
+    return now + minServiceTime() > (call.isNested ? call.deadline : call.target);
 }
 
-Millis ServerGate::quickMillis() const
+Millis ServerGate::minServiceTime() const
 {
-    return Millis{std::lround(m_serviceMillis * internal::kQuickShare)};
+    return Millis{std::lround(m_serviceMillis * internal::kMinServiceShare)};
 }
 
 TimePoint ServerGate::latestStart(const GateCall &call) const
 {
-    return (call.mayBeLate ? call.deadline : call.target) - quickMillis();
+    return (call.mayBeLate ? call.deadline : call.target) - minServiceTime();
 }
 
-bool ServerGate::goesBefore(const GateCall &a, const GateCall &b, TimePoint now) const
+bool ServerGate::precedes(const GateCall &a, const GateCall &b, TimePoint now) const
 {
     if (a.isNested != b.isNested) {
         return a.isNested;
@@ -69,26 +69,26 @@
         millis = static_cast<double>(ahead - static_cast<std::size_t>(free) + 1) * m_serviceMillis
                 / m_slots;
         if (isLateCall) {
-            // Late calls only get what calls in time leave.
-            millis /= std::max(internal::kLeastGap, 1.0 - useInTime(now));
+            // Late calls only get the capacity that timely calls leave.
+            millis /= std::max(internal::kMinLateShare, 1.0 - timelyUtilization(now));
         }
     }
-    if (const int left = m_cold.left(m_coldPerSecond, now);
-        left >= 0 && ahead >= static_cast<std::size_t>(left)) {
-        const auto beyond = static_cast<double>(ahead - static_cast<std::size_t>(left) + 1);
-        millis = std::max(millis, beyond * 1000.0 / m_coldPerSecond);
+    if (const int available = m_cold.available(m_coldPerSecond, now);
+        available >= 0 && ahead >= static_cast<std::size_t>(available)) {
+        const auto excess = static_cast<double>(ahead - static_cast<std::size_t>(available) + 1);
+        millis = std::max(millis, excess * 1000.0 / m_coldPerSecond);
     }
     return Millis{std::lround(millis)};
 }
 
 Reason ServerGate::offer(const GateCall &call, TimePoint now)
 {
-    if (m_closed != Reason::None) {
-        return m_closed;
+    if (m_closedReason != Reason::None) {
+        return m_closedReason;
     }
     const auto ahead = static_cast<std::size_t>(
             std::count_if(m_waiting.begin(), m_waiting.end(),
-                          [&](const GateCall &other) { return !goesBefore(call, other, now); }));
+                          [&](const GateCall &other) { return !precedes(call, other, now); }));
     const auto wait = estimateWait(ahead, isLate(call, now), now);
     if (wait.count() > 0 && now + wait > latestStart(call)) {
         return Reason::Busy;
@@ -102,17 +102,18 @@
 
 std::optional<std::uint64_t> ServerGate::next(TimePoint now)
 {
-    if (m_closed != Reason::None || m_waiting.empty() || m_running >= m_slots
-        || m_cold.left(m_coldPerSecond, now) == 0) {
+    if (m_closedReason != Reason::None || m_waiting.empty() || m_running >= m_slots
+        || m_cold.available(m_coldPerSecond, now) == 0) {
         return std::nullopt;
     }
     const auto it = std::min_element(
             m_waiting.begin(), m_waiting.end(),
-            [&](const GateCall &a, const GateCall &b) { return goesBefore(a, b, now); });
+            [&](const GateCall &a, const GateCall &b) { return precedes(a, b, now); });
     const auto ticket = it->ticket;
     if (!isLate(*it, now)) {
-        m_useInTime = useInTime(now) + m_serviceMillis / 1000.0 / m_slots / internal::kUseSeconds;
-        m_usedAt = now;
+        m_timelyUtilization = timelyUtilization(now)
+                + m_serviceMillis / 1000.0 / m_slots / internal::kUtilizationSeconds;
+        m_timelyUtilizationAt = now;
     }
     m_waiting.erase(it);
     ++m_running;
@@ -123,30 +124,31 @@
 std::vector<GateRefusal> ServerGate::expire(TimePoint now)
 {
     std::vector<GateRefusal> refusals;
-    if (m_closed != Reason::None) {
+    if (m_closedReason != Reason::None) {
         for (const auto &call : m_waiting) {
-            refusals.push_back({call.ticket, m_closed});
+            refusals.push_back({call.ticket, m_closedReason});
         }
         m_waiting.clear();
         return refusals;
     }
     std::sort(m_waiting.begin(), m_waiting.end(),
-              [&](const GateCall &a, const GateCall &b) { return goesBefore(a, b, now); });
-    std::vector<GateCall> kept;
+              [&](const GateCall &a, const GateCall &b) { return precedes(a, b, now); });
+    std::vector<GateCall> remaining;
     for (const auto &call : m_waiting) {
-        if (now + estimateWait(kept.size(), isLate(call, now), now) > latestStart(call)) {
+        if (now + estimateWait(remaining.size(), isLate(call, now), now) > latestStart(call)) {
             refusals.push_back({call.ticket, Reason::Busy});
         } else {
-            kept.push_back(call);
+            remaining.push_back(call);
         }
     }
-    m_waiting = std::move(kept);
+    m_waiting = std::move(remaining);
     return refusals;
 }
 
-double ServerGate::useInTime(TimePoint now) const
+double ServerGate::timelyUtilization(TimePoint now) const
 {
-    return m_useInTime * std::exp(-secondsBetween(m_usedAt, now) / internal::kUseSeconds);
+    return m_timelyUtilization
+            * std::exp(-secondsBetween(m_timelyUtilizationAt, now) / internal::kUtilizationSeconds);
 }
 
 void ServerGate::finished(HandoverEnd end, Micros spent, TimePoint now)
@@ -162,14 +164,15 @@
     if (end == HandoverEnd::NotSent || (end == HandoverEnd::Cancelled && !isHung)) {
         return;
     }
-    const double bad = end == HandoverEnd::Failed || isHung ? 1.0 : 0.0;
-    m_badShare = badShare(now) + internal::kBadWeight * (bad - badShare(now));
-    m_badAt = now;
+    const double failure = end == HandoverEnd::Failed || isHung ? 1.0 : 0.0;
+    m_failureShare = failureShare(now) + internal::kFailureWeight * (failure - failureShare(now));
+    m_failureShareAt = now;
 }
 
-double ServerGate::badShare(TimePoint now) const
+double ServerGate::failureShare(TimePoint now) const
 {
-    return m_badShare * std::exp(-secondsBetween(m_badAt, now) / internal::kBadMemorySeconds);
+    return m_failureShare
+            * std::exp(-secondsBetween(m_failureShareAt, now) / internal::kFailureDecaySeconds);
 }
 
 bool ServerGate::cancel(std::uint64_t ticket)
@@ -183,21 +186,24 @@
     return true;
 }
 
-int ServerGate::coldWait(TimePoint now)
+int ServerGate::estimateColdWaitMillis(TimePoint now)
 {
-    const int left = m_cold.left(m_coldPerSecond, now);
-    if (left < 0) {
+    const int available = m_cold.available(m_coldPerSecond, now);
+    if (available < 0) {
         return -1;
     }
-    const int beyond = static_cast<int>(m_waiting.size()) + 1 - left;
-    return beyond <= 0 ? 0 : static_cast<int>(std::lround(beyond * 1000.0 / m_coldPerSecond));
+    const int excess = static_cast<int>(m_waiting.size()) + 1 - available;
+    return excess <= 0 ? 0 : static_cast<int>(std::lround(excess * 1000.0 / m_coldPerSecond));
 }
 
 GateLoad ServerGate::load(TimePoint now)
 {
-    return {m_running,     static_cast<int>(m_waiting.size()),
-            m_slots,       static_cast<int>(std::lround(m_serviceMillis)),
-            coldWait(now), static_cast<int>(std::lround(badShare(now) * 100.0))};
+    return {m_running,
+            static_cast<int>(m_waiting.size()),
+            m_slots,
+            static_cast<int>(std::lround(m_serviceMillis)),
+            estimateColdWaitMillis(now),
+            static_cast<int>(std::lround(failureShare(now) * 100.0))};
 }
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/server_gate.h
+++ b/src/celeryramp/proxy/server_gate.h
@@ -6,26 +6,26 @@
 #include <vector>
 
 #include "core/time.h"
-#include "proxy/cold_window.h"
+#include "proxy/cold_start_limiter.h"
 #include "proxy/gate_load.h"
 #include "proxy/handover_end.h"
 #include "proxy/reason.h"
 
 namespace celeryramp::proxy {
 
-/*! @brief A call as far as its place at a gate depends on it. */
+/*! @brief Properties of a call that determine its admission and its place in the queue. */
 struct GateCall
 {
     std::uint64_t ticket = 0;
-    int rank = 0; /*!< 0 goes first. */
-    bool isNested = false; /*!< Its caller holds a slot elsewhere while it waits. */
-    bool mayBeLate = true; /*!< False: refuse when its target cannot be met, others can be asked. */
+    int rank = 0; /*!< Priority; 0 is the most urgent. */
+    bool isNested = false; /*!< Its caller is a server that occupies a slot meanwhile. */
+    bool mayBeLate = true; /*!< False: refuse it if its target cannot be met. */
     TimePoint arrived;
     TimePoint target;
     TimePoint deadline;
 };
 
-/*! @brief A call that the gate refuses; nothing of it reached the server. */
+/*! @brief A refused call of which nothing reached the server. */
 struct GateRefusal
 {
     std::uint64_t ticket = 0;
@@ -33,76 +33,80 @@
 };
 
 /*!
- * @brief The only way into one backend server: who is handed over, who waits, who is refused.
+ * @brief Admission control and priority queue for all calls to one backend server.
  *
- * Concurrency, the rate a cold server bears, draining and evacuation are local facts here. Calls of
- * servers go first: the work of their senders is lost with them. Then calls that can still meet
- * their target go before those that are late anyway, and then by rank. A call that cannot be served
- * before its deadline is refused as soon as that is foreseeable. Late calls are served in the gaps
- * that calls in time leave, and wait only as far as these gaps reach.
+ * All calls pass through this gate, so it can enforce the concurrency limit, the cold start rate,
+ * draining and evacuation locally. Nested calls are served first, because the work of the sending
+ * server is lost if they fail. Next are the calls that can still meet their target, then the late
+ * ones, each ordered by rank and target. A call is refused as soon as the estimated wait exceeds
+ * its deadline. Late calls only get the capacity that timely calls leave, and their estimated wait
+ * takes this into account.
  */
 class ServerGate
 {
 public:
-    /*! @brief The server behind the gate is this one. @param coldPerSecond 0 for no limit. */
+    /*! @brief Sets the limits of the server. @param coldPerSecond Requests per second while the
+     * server is cold; 0 for no limit. */
     void setServer(int slots, double coldPerSecond);
 
-    /*! @brief Refuses everything from now on, for this reason; `None` reopens. */
-    void setClosed(Reason reason) noexcept { m_closed = reason; }
-    [[nodiscard]] Reason closed() const noexcept { return m_closed; }
+    /*! @brief Refuses all calls with this reason from now on; `None` reopens the gate. */
+    void setClosed(Reason reason) noexcept { m_closedReason = reason; }
+    [[nodiscard]] Reason closed() const noexcept { return m_closedReason; }
 
-    [[nodiscard]] ColdWindow &cold() noexcept { return m_cold; }
+    [[nodiscard]] ColdStartLimiter &cold() noexcept { return m_cold; }
 
-    /*! @brief A call arrived. @return Why it is refused, or `None` when it was taken in. */
+    /*! @brief Queues or refuses a new call. @return Reason for refusal, or `None` if it is queued.
+     */
     [[nodiscard]] Reason offer(const GateCall &call, TimePoint now);
 
-    /*! @return The call to be handed over next, if one may be now; it then counts as running. */
+    /*! @brief Dequeues the next call if the server can take one now. @return Its ticket; the call
+     * then counts as running. */
     [[nodiscard]] std::optional<std::uint64_t> next(TimePoint now);
 
-    /*! @return Calls that cannot be served any more, taken out. */
+    /*! @brief Removes the calls that can no longer be served in time. @return The removed calls. */
     [[nodiscard]] std::vector<GateRefusal> expire(TimePoint now);
 
-    /*! @brief A running call ended. @param spent Time since it was handed over. */
+    /*! @brief Records the end of a running call. @param spent Time since it was handed over. */
     void finished(HandoverEnd end, Micros spent, TimePoint now);
 
-    /*! @return True when the call was still waiting; it is then forgotten. */
+    /*! @brief Removes a queued call. @return False if it was not in the queue. */
     bool cancel(std::uint64_t ticket);
 
     [[nodiscard]] GateLoad load(TimePoint now);
     [[nodiscard]] std::size_t waiting() const noexcept { return m_waiting.size(); }
     [[nodiscard]] int running() const noexcept { return m_running; }
 
-    /*! @return Time until a call that arrives now would be handed over. @param ahead Calls that go
-     * before it. */
+    /*! @return Estimated time until a call that arrives now is handed over. @param ahead Number of
+     * queued calls that precede it. */
     [[nodiscard]] Millis estimateWait(std::size_t ahead, bool isLateCall, TimePoint now);
 
 private:
-    [[nodiscard]] bool goesBefore(const GateCall &a, const GateCall &b, TimePoint now) const;
+    [[nodiscard]] bool precedes(const GateCall &a, const GateCall &b, TimePoint now) const;
     [[nodiscard]] bool isLate(const GateCall &call, TimePoint now) const;
-    /*! @return Time that a call needs at least. */
-    [[nodiscard]] Millis quickMillis() const;
-    /*! @return When a call must be handed over to be kept waiting until then. */
+    /*! @return Assumed minimum service time of a call. */
+    [[nodiscard]] Millis minServiceTime() const;
+    /*! @return Latest time of handover with which the call is worth queueing. */
     [[nodiscard]] TimePoint latestStart(const GateCall &call) const;
-    /*! @return Part of the server's time that calls in time took lately. */
-    [[nodiscard]] double useInTime(TimePoint now) const;
-    [[nodiscard]] double badShare(TimePoint now) const;
-    /*! @return Milliseconds until a new call is handed over to a cold server; -1 when warm. */
-    [[nodiscard]] int coldWait(TimePoint now);
+    /*! @return Recent share of the server's capacity used by timely calls. */
+    [[nodiscard]] double timelyUtilization(TimePoint now) const;
+    [[nodiscard]] double failureShare(TimePoint now) const;
+    /*! @return Milliseconds until a cold server can take a new call; -1 if it is warm. */
+    [[nodiscard]] int estimateColdWaitMillis(TimePoint now);
 
     std::vector<GateCall> m_waiting;
-    ColdWindow m_cold;
+    ColdStartLimiter m_cold;
     int m_slots = 1;
     double m_coldPerSecond = 0.0;
     int m_running = 0;
-    double m_serviceMillis; /*!< Smoothed time at the server. */
-    double m_badShare = 0.0; /*!< Smoothed share of hand-overs that the server failed. */
-    TimePoint m_badAt; /*!< When the share was changed last. */
-    double m_useInTime = 0.0; /*!< Of the server by calls in time, when one was handed over last. */
-    TimePoint m_usedAt;
-    Reason m_closed = Reason::NoServer;
+    double m_serviceMillis; /*!< Moving average of the service time. */
+    double m_failureShare = 0.0; /*!< Moving average, at `m_failureShareAt`. */
+    TimePoint m_failureShareAt;
+    double m_timelyUtilization = 0.0; /*!< At `m_timelyUtilizationAt`. */
+    TimePoint m_timelyUtilizationAt;
+    Reason m_closedReason = Reason::NoServer;
 
 public:
-    /*! Time at the server assumed before the first answer. */
+    /*! Service time assumed before the first answer. */
     static constexpr double kInitialServiceMillis = 100.0;
 
     ServerGate() : m_serviceMillis{kInitialServiceMillis} { }
--- a/src/celeryramp/proxy/server_picker.cpp
+++ b/src/celeryramp/proxy/server_picker.cpp
@@ -7,158 +7,165 @@
 
 namespace internal {
 
-/*! News of a gate's load counts in full when new and not at all after this. */
-constexpr Millis kLoadMemory{1000};
-/*! Failures fade over this time, so that a server that was bad is tried again. */
-constexpr double kBadMemorySeconds = 3.0;
-/*! Weight of the newest outcome in the share of failures; about the last 8 calls. */
-constexpr double kBadWeight = 0.12;
-/*! Time in ms that a server whose calls all fail counts as taking longer; over any real wait. */
-constexpr double kBadMillis = 2000.0;
-/*! Share of failures above that of the soundest server from which a server is passed over. */
-constexpr double kSoundShare = 0.1;
-constexpr Millis kForgetAfter{60'000};
-/*! Time at a server in ms that is assumed before any told its own. */
-constexpr double kUnknownService = 100.0;
-/*! Part of the mean time at a server within which three of four calls of a usual spread end. */
-constexpr double kUsualShare = 1.2;
-/*! Candidates of the own zone, and of all others, that are compared for a call. */
-constexpr std::size_t kDraws = 2;
-/*! Keeps a mean of nothing from being one. */
-constexpr double kLeastWeight = 1e-9;
-
-[[nodiscard]] double freshness(TimePoint heardAt, TimePoint now)
+/*! Age at which a load report has lost all its weight, which falls linearly from 1. */
+constexpr Millis kLoadReportLifetime{1000};
+/*! Time constant of the decay of the share of failures, so that a failing server is retried. */
+constexpr double kFailureDecaySeconds = 3.0;
+/*! Weight of the newest sample in the share of failures, which covers about 8 calls. */
+constexpr double kFailureWeight = 0.12;
+/*! Wait in ms added for a server whose calls all fail; longer than any real wait. */
+constexpr double kFailurePenaltyMillis = 2000.0;
+/*! A server is unhealthy if its share of failures exceeds the lowest one by more than this. */
+constexpr double kHealthyMargin = 0.1;
+constexpr Millis kStateRetention{60'000};
+/*! Service time in ms that is assumed before any server has reported its own. */
+constexpr double kDefaultServiceMillis = 100.0;
+/*! Multiple of the mean service time within which three of four calls end, with a usual
+ *  distribution. */
+constexpr double kLikelyServiceFactor = 1.2;
+/*! Randomly drawn candidates that are compared, in the local zone and in all others. */
+constexpr std::size_t kSampledCandidates = 2;
+/*! Avoids a division by zero if there are no recent load reports. */
+constexpr double kMinWeight = 1e-9;
+
+[[nodiscard]] double freshness(TimePoint updatedAt, TimePoint now)
 {
-    const auto age = static_cast<double>(millisBetween(heardAt, now).count());
-    return std::clamp(1.0 - age / kLoadMemory.count(), 0.0, 1.0);
+    const auto age = static_cast<double>(millisBetween(updatedAt, now).count());
+    return std::clamp(1.0 - age / kLoadReportLifetime.count(), 0.0, 1.0);
 }
 
 } // namespace internal
 
-std::vector<ServerPicker::Entry> ServerPicker::look(gsl::span<const Candidate> candidates,
-                                                    TimePoint now) const
+std::vector<ServerPicker::Entry> ServerPicker::collectEntries(gsl::span<const Candidate> candidates,
+                                                              TimePoint now) const
 {
     std::vector<Entry> entries;
     entries.reserve(candidates.size());
     for (const auto &candidate : candidates) {
-        const auto it = m_known.find(candidate.server->id);
-        if (it == m_known.end()) {
+        const auto stateIt = m_states.find(candidate.server->id);
+        if (stateIt == m_states.end()) {
             entries.push_back({&candidate, nullptr, 0.0});
             continue;
         }
-        const auto &known = it->second;
-        const double share = std::max(known.badShare, known.load.badPercent / 100.0);
-        const double fade
-                = std::exp(-secondsBetween(known.heardAt, now) / internal::kBadMemorySeconds);
-        entries.push_back({&candidate, &known, share * fade});
+        const auto &state = stateIt->second;
+        const double rawShare = std::max(state.failureShare, state.load.badPercent / 100.0);
+        const double decay
+                = std::exp(-secondsBetween(state.updatedAt, now) / internal::kFailureDecaySeconds);
+        entries.push_back({&candidate, &state, rawShare * decay});
     }
     return entries;
 }
 
-ServerPicker::Field ServerPicker::summarize(const std::vector<Entry> &entries, TimePoint now)
+ServerPicker::PoolSummary ServerPicker::summarize(const std::vector<Entry> &entries, TimePoint now)
 {
-    Field field;
-    double told = 0.0;
-    double weightNear = 0.0;
-    double weightFar = 0.0;
+    PoolSummary summary;
+    double reportCount = 0.0;
+    double localWeight = 0.0;
+    double remoteWeight = 0.0;
     for (const auto &entry : entries) {
-        field.leastBad = std::min(field.leastBad, entry.bad);
-        if (entry.known == nullptr || entry.known->load.serviceMillis <= 0) {
+        summary.minFailureShare = std::min(summary.minFailureShare, entry.decayedFailureShare);
+        if (entry.state == nullptr || entry.state->load.serviceMillis <= 0) {
             continue;
         }
-        const auto &load = entry.known->load;
-        told += 1.0;
-        field.serviceMillis += load.serviceMillis;
-        const double fresh = internal::freshness(entry.known->heardAt, now);
-        const bool isNear = entry.candidate->isOwnZone;
-        (isNear ? weightNear : weightFar) += fresh;
-        (isNear ? field.utilizationNear : field.utilizationFar)
-                += fresh * (load.running + load.waiting) / std::max(1, load.slots);
+        const auto &load = entry.state->load;
+        reportCount += 1.0;
+        summary.serviceMillis += load.serviceMillis;
+        const double weight = internal::freshness(entry.state->updatedAt, now);
+        const bool isLocal = entry.candidate->isLocalZone;
+        (isLocal ? localWeight : remoteWeight) += weight;
+        (isLocal ? summary.localUtilization : summary.remoteUtilization)
+                += weight * (load.running + load.waiting) / std::max(1, load.slots);
     }
-    field.serviceMillis = told > 0.0 ? field.serviceMillis / told : internal::kUnknownService;
-    field.utilizationNear /= std::max(weightNear, internal::kLeastWeight);
-    field.utilizationFar /= std::max(weightFar, internal::kLeastWeight);
-    return field;
+    summary.serviceMillis = reportCount > 0.0 ? summary.serviceMillis / reportCount
+                                              : internal::kDefaultServiceMillis;
+    summary.localUtilization /= std::max(localWeight, internal::kMinWeight);
+    summary.remoteUtilization /= std::max(remoteWeight, internal::kMinWeight);
+    return summary;
 }
 
-bool ServerPicker::isSound(const Entry &entry, const Field &field)
+bool ServerPicker::isHealthy(const Entry &entry, const PoolSummary &summary)
 {
-    return entry.bad <= field.leastBad + internal::kSoundShare;
+    return entry.decayedFailureShare <= summary.minFailureShare + internal::kHealthyMargin;
 }
 
-Millis ServerPicker::Estimate::likely() const
+Millis ServerPicker::Estimate::likelyLatency() const
 {
-    return Millis{std::lround(wait + internal::kUsualShare * service)};
+    return Millis{std::lround(wait + internal::kLikelyServiceFactor * service)};
 }
 
-ServerPicker::Estimate ServerPicker::estimate(const Entry &entry, const Field &field, TimePoint now)
+ServerPicker::Estimate ServerPicker::estimate(const Entry &entry, const PoolSummary &summary,
+                                              TimePoint now)
 {
     const double slots = std::max(1, entry.candidate->server->slots);
     Estimate estimate;
-    estimate.service = field.serviceMillis;
-    double occupied
-            = slots * (entry.candidate->isOwnZone ? field.utilizationNear : field.utilizationFar);
-    if (entry.known != nullptr) {
-        const auto &known = *entry.known;
-        const double fresh = internal::freshness(known.heardAt, now);
-        if (known.load.serviceMillis > 0) {
-            estimate.service = known.load.serviceMillis;
+    estimate.service = summary.serviceMillis;
+    double occupied = slots
+            * (entry.candidate->isLocalZone ? summary.localUtilization : summary.remoteUtilization);
+    if (entry.state != nullptr) {
+        const auto &state = *entry.state;
+        const double weight = internal::freshness(state.updatedAt, now);
+        if (state.load.serviceMillis > 0) {
+            estimate.service = state.load.serviceMillis;
         }
-        occupied = fresh * (known.load.running + known.load.waiting) + (1.0 - fresh) * occupied;
-        occupied = std::max<double>(known.inFlight, occupied);
-        estimate.wait = fresh * std::max(0, known.load.coldWaitMillis);
+        occupied = weight * (state.load.running + state.load.waiting) + (1.0 - weight) * occupied;
+        occupied = std::max<double>(state.inFlight, occupied);
+        estimate.wait = weight * std::max(0, state.load.coldWaitMillis);
     }
-    const double use = std::min(1.0, occupied / slots);
-    const double over = std::max(0.0, occupied + 1.0 - slots);
-    estimate.wait += over * estimate.service / slots;
-    if (!isSound(entry, field)) {
-        estimate.wait += entry.bad * internal::kBadMillis;
+    const double utilization = std::min(1.0, occupied / slots);
+    const double excess = std::max(0.0, occupied + 1.0 - slots);
+    estimate.wait += excess * estimate.service / slots;
+    if (!isHealthy(entry, summary)) {
+        estimate.wait += entry.decayedFailureShare * internal::kFailurePenaltyMillis;
     }
-    // The nearer a server is to its slots, the likelier others fill them before the call arrives.
-    estimate.cost = estimate.wait + estimate.service * (1.0 + use * use);
+    // The higher the utilization, the likelier other nodes fill the last slots before the call
+    // arrives.
+    estimate.cost = estimate.wait + estimate.service * (1.0 + utilization * utilization);
     return estimate;
 }
 
-Choice ServerPicker::pick(gsl::span<const Candidate> candidates, const Wanted &wanted,
-                          TimePoint now)
+Choice ServerPicker::pick(gsl::span<const Candidate> candidates,
+                          const PickRequirements &requirements, TimePoint now)
 {
-    const auto entries = look(candidates, now);
-    const auto field = summarize(entries, now);
-    const auto near = eligible(entries, field, true);
-    const bool isNearInTime = std::any_of(near.begin(), near.end(), [&](const Entry *entry) {
-        return estimate(*entry, field, now).likely() <= wanted.left;
+    const auto entries = collectEntries(candidates, now);
+    const auto summary = summarize(entries, now);
+    const auto local = eligible(entries, summary, true);
+    const bool isLocalInTime = std::any_of(local.begin(), local.end(), [&](const Entry *entry) {
+        return estimate(*entry, summary, now).likelyLatency() <= requirements.left;
     });
-    if (!near.empty() && (isNearInTime || !wanted.maySpill)) {
-        return best(near, field, now);
+    if (!local.empty() && (isLocalInTime || !requirements.maySpill)) {
+        return pickBest(local, summary, now);
     }
-    const auto far = best(eligible(entries, field, false), field, now);
-    const bool isFarInTime = far.server != nullptr && far.likely <= wanted.left;
-    return near.empty() || isFarInTime ? far : best(near, field, now);
+    const auto remote = pickBest(eligible(entries, summary, false), summary, now);
+    const bool isRemoteInTime
+            = remote.server != nullptr && remote.likelyLatency <= requirements.left;
+    return local.empty() || isRemoteInTime ? remote : pickBest(local, summary, now);
 }
 
 std::vector<const ServerPicker::Entry *> ServerPicker::eligible(const std::vector<Entry> &entries,
-                                                                const Field &field, bool isOwnZone)
+                                                                const PoolSummary &summary,
+                                                                bool isLocalZone)
 {
-    std::vector<const Entry *> sound;
+    std::vector<const Entry *> healthy;
     std::vector<const Entry *> others;
     for (const auto &entry : entries) {
-        if (!entry.candidate->isAsked && entry.candidate->isOwnZone == isOwnZone) {
-            (isSound(entry, field) ? sound : others).push_back(&entry);
+        if (!entry.candidate->isAsked && entry.candidate->isLocalZone == isLocalZone) {
+            (isHealthy(entry, summary) ? healthy : others).push_back(&entry);
         }
     }
-    return sound.empty() ? others : sound;
+    return healthy.empty() ? others : healthy;
 }
 
-Choice ServerPicker::best(std::vector<const Entry *> pool, const Field &field, TimePoint now)
+Choice ServerPicker::pickBest(std::vector<const Entry *> pool, const PoolSummary &summary,
+                              TimePoint now)
 {
     Choice choice;
-    double least = 0.0;
-    for (std::size_t i = 0; i < internal::kDraws && i < pool.size(); ++i) {
+    double minCost = 0.0;
+    for (std::size_t i = 0; i < internal::kSampledCandidates && i < pool.size(); ++i) {
         std::swap(pool[i], pool[i + m_random.below(pool.size() - i)]);
-        const auto expected = estimate(*pool[i], field, now);
-        if (choice.server == nullptr || expected.cost < least) {
-            least = expected.cost;
-            choice = {pool[i]->candidate->server, expected.likely()};
+        const auto expected = estimate(*pool[i], summary, now);
+        if (choice.server == nullptr || expected.cost < minCost) {
+            minCost = expected.cost;
+            choice = {pool[i]->candidate->server, expected.likelyLatency()};
         }
     }
     return choice;
@@ -166,39 +173,39 @@
 
 void ServerPicker::onSent(const std::string &serverId)
 {
-    ++m_known[serverId].inFlight;
+    ++m_states[serverId].inFlight;
 }
 
-void ServerPicker::onReply(const std::string &serverId, const GateLoad &load, bool wasGood,
+void ServerPicker::onReply(const std::string &serverId, const GateLoad &load, bool isSuccess,
                            TimePoint now)
 {
-    auto &known = m_known[serverId];
-    known.inFlight = std::max(0, known.inFlight - 1);
-    known.load = load;
-    known.heardAt = now;
-    known.badShare += internal::kBadWeight * ((wasGood ? 0.0 : 1.0) - known.badShare);
+    auto &state = m_states[serverId];
+    state.inFlight = std::max(0, state.inFlight - 1);
+    state.load = load;
+    state.updatedAt = now;
+    state.failureShare += internal::kFailureWeight * ((isSuccess ? 0.0 : 1.0) - state.failureShare);
 }
 
 void ServerPicker::onAbandoned(const std::string &serverId)
 {
-    auto &known = m_known[serverId];
-    known.inFlight = std::max(0, known.inFlight - 1);
+    auto &state = m_states[serverId];
+    state.inFlight = std::max(0, state.inFlight - 1);
 }
 
 void ServerPicker::onNoReply(const std::string &serverId, TimePoint now)
 {
-    auto &known = m_known[serverId];
-    known.inFlight = std::max(0, known.inFlight - 1);
-    known.heardAt = now;
-    known.badShare += internal::kBadWeight * (1.0 - known.badShare);
+    auto &state = m_states[serverId];
+    state.inFlight = std::max(0, state.inFlight - 1);
+    state.updatedAt = now;
+    state.failureShare += internal::kFailureWeight * (1.0 - state.failureShare);
 }
 
 void ServerPicker::sweep(TimePoint now)
 {
-    for (auto it = m_known.begin(); it != m_known.end();) {
-        const bool isOld = it->second.inFlight == 0
-                && millisBetween(it->second.heardAt, now) > internal::kForgetAfter;
-        it = isOld ? m_known.erase(it) : std::next(it);
+    for (auto stateIt = m_states.begin(); stateIt != m_states.end();) {
+        const bool isExpired = stateIt->second.inFlight == 0
+                && millisBetween(stateIt->second.updatedAt, now) > internal::kStateRetention;
+        stateIt = isExpired ? m_states.erase(stateIt) : std::next(stateIt);
     }
 }
 
--- a/src/celeryramp/proxy/server_picker.h
+++ b/src/celeryramp/proxy/server_picker.h
@@ -14,109 +14,112 @@
 
 namespace celeryramp::proxy {
 
-/*! @brief A server that may be asked, and what is known of the way to it. */
+/*! @brief A server that a call may be offered to. */
 struct Candidate
 {
     const directory::BackendServer *server = nullptr;
-    bool isOwnZone = false;
-    bool isAsked = false; /*!< Not to be chosen; what is known of it still tells of the others. */
+    bool isLocalZone = false;
+    bool isAsked = false; /*!< Not to be chosen; its state still counts in the averages of all. */
 };
 
-/*! @brief What a call wants of the server that is chosen for it. */
-struct Wanted
+/*! @brief Requirements of a call on the server that is chosen for it. */
+struct PickRequirements
 {
-    Millis left{0}; /*!< Time in which the answer is wanted. */
-    bool maySpill = true; /*!< Other zones may be asked when the own one is not expected in time. */
+    Millis left{0}; /*!< Time left until the answer is due. */
+    bool maySpill = true; /*!< Other zones may be used if the local one is likely late. */
 };
 
-/*! @brief Whose gate to ask, and what is expected of it. */
+/*! @brief The chosen server and its likely latency. */
 struct Choice
 {
-    const directory::BackendServer *server = nullptr; /*!< Null when there is no candidate. */
-    Millis likely{0}; /*!< Within which an answer is likely, from news that may be a little old. */
+    const directory::BackendServer *server = nullptr; /*!< Null if there is no candidate. */
+    Millis likelyLatency{0}; /*!< Latency that three of four calls are expected to meet, from
+                              * load reports that may be slightly outdated. */
 };
 
 /*!
- * @brief Chooses whose gate to ask: the shortest expected time to the answer among a few drawn at
- * random, so that many nodes with the same old news do not all turn to one server.
+ * @brief Selects the server for a call: the one with the lowest expected cost among a few randomly
+ * drawn candidates. The random draw keeps nodes with the same outdated load reports from all
+ * selecting the same server.
  *
- * Faster servers go before slower ones until they are nearly full. Servers of other zones are asked
- * when no more are left in the own one, or when they are expected to answer in time and those of
- * the own zone are not, if the call is worth its bytes between zones. Servers that fail more than
- * others are passed over while sound ones remain in their zone, and count as slower by their
- * failures against those of other zones.
+ * Faster servers are preferred until they are nearly full. Servers of other zones are selected if
+ * the local zone has none left, or if they are expected to meet the target, the local ones are not
+ * and the call may spill. Servers that fail more often than others are skipped while healthy ones
+ * remain in their zone; compared with other zones they get a time penalty for their failures.
  */
 class ServerPicker
 {
 public:
     explicit ServerPicker(std::uint64_t seed) : m_random{seed} { }
 
-    /*! @return The server to ask; none only without candidates. */
-    [[nodiscard]] Choice pick(gsl::span<const Candidate> candidates, const Wanted &wanted,
-                              TimePoint now);
+    /*! @return The selected server; null if all candidates are excluded. */
+    [[nodiscard]] Choice pick(gsl::span<const Candidate> candidates,
+                              const PickRequirements &requirements, TimePoint now);
 
-    /*! @brief A call was sent to the gate of this server. */
+    /*! @brief Records a call sent to the gate of this server. */
     void onSent(const std::string &serverId);
-    /*! @brief A gate replied. */
-    void onReply(const std::string &serverId, const GateLoad &load, bool wasGood, TimePoint now);
-    /*! @brief A call was given up by its caller, which tells nothing of the server. */
+    /*! @brief Records the reply of a gate with its load. */
+    void onReply(const std::string &serverId, const GateLoad &load, bool isSuccess, TimePoint now);
+    /*! @brief Records a call that its caller cancelled, which says nothing about the server. */
     void onAbandoned(const std::string &serverId);
-    /*! @brief A call got no reply in its time. */
+    /*! @brief Records a call that timed out without a reply, as a failure of the server. */
     void onNoReply(const std::string &serverId, TimePoint now);
-    /*! @brief Forgets servers not heard of for long. */
+    /*! @brief Removes the state of servers without calls for `kStateRetention`. */
     void sweep(TimePoint now);
 
 private:
-    struct Known
+    struct ServerState
     {
         GateLoad load;
         int inFlight = 0;
-        double badShare = 0.0; /*!< Smoothed share of own calls that did not succeed. */
-        TimePoint heardAt;
+        double failureShare = 0.0; /*!< Moving average over the calls of this node. */
+        TimePoint updatedAt;
     };
 
-    /*! What is known of all candidates together: stands in for what is not known of one. */
-    struct Field
+    /*! Averages over all candidates, used where the state of one is unknown. */
+    struct PoolSummary
     {
         double serviceMillis = 0.0;
-        double utilizationNear = 0.0; /*!< Of servers in the own zone. */
-        double utilizationFar = 0.0;
-        double leastBad = 1.0;
+        double localUtilization = 0.0; /*!< Of the servers in the local zone. */
+        double remoteUtilization = 0.0;
+        double minFailureShare = 1.0;
     };
 
-    /*! What a call may expect of a server, in milliseconds. */
+    /*! Expected times of a call at a server, in milliseconds. */
     struct Estimate
     {
         double wait = 0.0;
         double service = 0.0;
-        double cost = 0.0; /*!< By which servers are compared. */
+        double cost = 0.0; /*!< Servers are compared by this. */
 
-        /*! @return Time within which an answer is likely. */
-        [[nodiscard]] Millis likely() const;
+        /*! @return Latency that three of four calls are expected to meet. */
+        [[nodiscard]] Millis likelyLatency() const;
     };
 
-    /*! A candidate with what is known of it. */
+    /*! A candidate with its known state. */
     struct Entry
     {
         const Candidate *candidate = nullptr;
-        const Known *known = nullptr;
-        double bad = 0.0;
+        const ServerState *state = nullptr;
+        double decayedFailureShare = 0.0;
     };
 
-    [[nodiscard]] std::vector<Entry> look(gsl::span<const Candidate> candidates,
-                                          TimePoint now) const;
-    [[nodiscard]] static Field summarize(const std::vector<Entry> &entries, TimePoint now);
-    /*! @return Those of the own zone, or of all others, that may be chosen: the sound ones, if
-     * there are any. */
-    [[nodiscard]] static std::vector<const Entry *> eligible(const std::vector<Entry> &entries,
-                                                             const Field &field, bool isOwnZone);
-    /*! @return The better of two drawn from a pool. */
-    [[nodiscard]] Choice best(std::vector<const Entry *> pool, const Field &field, TimePoint now);
-    [[nodiscard]] static bool isSound(const Entry &entry, const Field &field);
-    [[nodiscard]] static Estimate estimate(const Entry &entry, const Field &field, TimePoint now);
+    [[nodiscard]] std::vector<Entry> collectEntries(gsl::span<const Candidate> candidates,
+                                                    TimePoint now) const;
+    [[nodiscard]] static PoolSummary summarize(const std::vector<Entry> &entries, TimePoint now);
+    /*! @return Candidates of the local zone or of all others that may be chosen: the healthy ones,
+     * or the unhealthy ones if there are no others. */
+    [[nodiscard]] static std::vector<const Entry *>
+    eligible(const std::vector<Entry> &entries, const PoolSummary &summary, bool isLocalZone);
+    /*! @return The candidate with the lowest cost of `kSampledCandidates` drawn from the pool. */
+    [[nodiscard]] Choice pickBest(std::vector<const Entry *> pool, const PoolSummary &summary,
+                                  TimePoint now);
+    [[nodiscard]] static bool isHealthy(const Entry &entry, const PoolSummary &summary);
+    [[nodiscard]] static Estimate estimate(const Entry &entry, const PoolSummary &summary,
+                                           TimePoint now);
 
     RandomEngine m_random;
-    std::map<std::string, Known> m_known;
+    std::map<std::string, ServerState> m_states;
 };
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/split_chooser.cpp
+++ b/src/celeryramp/proxy/split_chooser.cpp
@@ -17,22 +17,22 @@
         weights.push_back(part.weight);
     }
     const long total = std::accumulate(weights.begin(), weights.end(), 0L);
-    auto &turns = m_turns[route.name];
-    if (turns.weights != weights) {
-        turns.weights = weights;
-        turns.credit.assign(weights.size(), 0);
-        // A first credit of this node's own keeps the nodes from taking the same turns together.
+    auto &state = m_states[route.name];
+    if (state.weights != weights) {
+        state.weights = weights;
+        state.credits.assign(weights.size(), 0);
+        // Different initial credits keep the nodes from choosing the same service at the same time.
         const auto offset = static_cast<long>((stableHash(route.name) ^ m_seed)
                                               % static_cast<unsigned long>(total));
-        turns.credit.front() = offset;
-        turns.credit.back() -= offset;
+        state.credits.front() = offset;
+        state.credits.back() -= offset;
     }
     for (std::size_t i = 0; i < weights.size(); ++i) {
-        turns.credit[i] += weights[i];
+        state.credits[i] += weights[i];
     }
-    const auto best = std::max_element(turns.credit.begin(), turns.credit.end());
+    const auto best = std::max_element(state.credits.begin(), state.credits.end());
     *best -= total;
-    return route.split[static_cast<std::size_t>(best - turns.credit.begin())].service;
+    return route.split[static_cast<std::size_t>(best - state.credits.begin())].service;
 }
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/split_chooser.h
+++ b/src/celeryramp/proxy/split_chooser.h
@@ -10,28 +10,28 @@
 namespace celeryramp::proxy {
 
 /*!
- * @brief Deals the requests of a route out over its destinations in exact proportion of the
- * weights, evenly in time (smooth weighted round robin). A destination short of room keeps its
- * share: what does not fit there is refused, not moved.
+ * @brief Distributes the requests of a route over its services in proportion to their weights, by
+ * smooth weighted round robin. An overloaded service keeps its share: excess requests are refused
+ * rather than moved to another service.
  */
 class SplitChooser
 {
 public:
-    /*! @param seed Starts the turns of each node elsewhere. */
+    /*! @param seed Gives each node a different start of the round robin. */
     explicit SplitChooser(std::uint64_t seed) : m_seed{seed} { }
 
     /*! @return The service for the next request of the route. */
     [[nodiscard]] const std::string &choose(const directory::Route &route);
 
 private:
-    struct Turns
+    struct RoundRobinState
     {
         std::vector<int> weights;
-        std::vector<long> credit;
+        std::vector<long> credits;
     };
 
     std::uint64_t m_seed;
-    std::map<std::string, Turns> m_turns; /*!< By route. */
+    std::map<std::string, RoundRobinState> m_states; /*!< By route name. */
 };
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/usage_ledger.h
+++ b/src/celeryramp/proxy/usage_ledger.h
@@ -11,72 +11,73 @@
 namespace celeryramp::proxy {
 
 /*!
- * @brief Adds up the use of accounts: of the nodes of one zone, and of the other zones.
+ * @brief Aggregates the usage of accounts by the nodes of the local zone and by the other zones.
  *
- * One node of each zone keeps it, and a node that hears nobody keeps one for itself. Those that
- * hear one another may admit as large a part of each limit as they are nodes of the fleet, so that
- * groups which cannot see one another do not admit the rate several times, however they are cut.
+ * One node of each zone aggregates its reports; an isolated node aggregates its own. Nodes that
+ * reach one another may admit the same fraction of each limit as their share of all nodes, so that
+ * the groups of a network partition together do not exceed the limit.
  */
 class UsageLedger
 {
 public:
-    /*! @param zone The own zone. */
+    /*! @param zone The local zone. */
     explicit UsageLedger(std::string zone) : m_zone{std::move(zone)} { }
 
-    /*! @brief A node of the own zone reports. */
+    /*! @brief Adds the report of a node of the local zone. */
     void addNodeReport(const std::string &node, const UsageFrame &report, TimePoint now);
     /*!
-     * @brief Counts the nodes of the own zone that are heard.
-     * @param others Nodes of the zone but the one that keeps this ledger.
-     * @param fleet Number of all nodes that were published lately.
+     * @brief Counts the live nodes of the local zone, that is, those with a recent report.
+     * @param others Nodes of the zone except the one that aggregates.
+     * @param fleetSize Number of all nodes that were published recently.
      */
-    void countNodes(const std::vector<std::string> &others, std::size_t fleet, TimePoint now);
-    /*! @brief Another zone reports its sum. */
+    void countNodes(const std::vector<std::string> &others, std::size_t fleetSize, TimePoint now);
+    /*! @brief Adds the report of another zone. Reports of the local zone are ignored. */
     void addZoneReport(const UsageFrame &report, TimePoint now);
-    /*! @param isQuiet Nobody of the zone has asked for anything lately; it reports seldom.
-     * @return The sum of the own zone since the last one, for the other zones. */
-    [[nodiscard]] UsageFrame takeZoneReport(bool isQuiet);
-    /*! @return Part of all limits that the nodes which are heard may admit together. */
-    [[nodiscard]] double share(TimePoint now) const;
-    /*! @return State of all accounts that had demand lately. */
+    /*! @param isIdle The zone had no recent requests, so it reports at longer intervals.
+     * @return Usage of the local zone since the last report, for the other zones. */
+    [[nodiscard]] UsageFrame takeZoneReport(bool isIdle);
+    /*! @return Fraction of all limits that the live nodes may admit together. */
+    [[nodiscard]] double liveShare(TimePoint now) const;
+    /*! @return State of all rate-limited accounts with recent demand. */
     [[nodiscard]] LevelsFrame levels(const directory::RoutingTable &routing, TimePoint now);
 
 private:
     struct ZoneDemand
     {
-        double recent = 0.0; /*!< Asked since the last measurement. */
+        double unmeasured = 0.0; /*!< Requests since the last measurement. */
         double perSecond = 0.0;
     };
 
     struct Account
     {
         std::map<std::string, ZoneDemand> zones;
-        double level = 0.0;
+        double level = 0.0; /*!< Tokens of the bucket; negative when overdrawn. */
         double admitted = 0.0; /*!< Since the last update of the level. */
-        bool isKnown = false;
+        bool isInitialized = false;
     };
 
-    /*! What a zone told last. */
+    /*! Last report of another zone. */
     struct Zone
     {
-        TimePoint heardAt;
-        int nodes = 0; /*!< That it hears. */
-        bool isQuiet = false;
+        TimePoint reportedAt;
+        int liveNodes = 0; /*!< Live nodes of the zone. */
+        bool isIdle = false;
     };
 
-    void take(const std::string &zone, const UsageFrame &report);
-    [[nodiscard]] bool isHeard(const std::string &zone, TimePoint now) const;
-    /*! @brief Measures the demand of an account anew when a span is over.
-     * @return Requests a second of the zones that are heard. */
-    [[nodiscard]] double measure(Account &account, double span, bool isMeasured, TimePoint now);
+    void addUsage(const std::string &zone, const UsageFrame &report);
+    [[nodiscard]] bool isLive(const std::string &zone, TimePoint now) const;
+    /*! @brief Updates the demand of an account if a measurement is due. @param span Seconds since
+     * the last measurement. @return Requests per second over all live zones. */
+    [[nodiscard]] double updateDemand(Account &account, double span, bool isMeasurementDue,
+                                      TimePoint now);
 
     std::string m_zone;
     std::map<std::string, Account> m_accounts;
-    std::map<std::string, Zone> m_zones; /*!< All others that were ever heard. */
-    std::map<std::string, TimePoint> m_nodesHeardAt; /*!< Of the own zone. */
-    int m_nodes = 1; /*!< Of the own zone that are heard, with the own one. */
-    std::size_t m_fleet = 1;
-    UsageFrame m_unreported; /*!< Of the own zone, for the others. */
+    std::map<std::string, Zone> m_zones; /*!< All other zones that ever reported. */
+    std::map<std::string, TimePoint> m_nodeReportedAt; /*!< Of the local zone. */
+    int m_liveNodes = 1; /*!< In the local zone, with this one. */
+    std::size_t m_fleetSize = 1;
+    UsageFrame m_unreported; /*!< Usage of the local zone not yet sent to the others. */
     TimePoint m_updatedAt;
     TimePoint m_measuredAt;
 };
--- a/test/proxy/answer_sizes.cpp
+++ b/test/proxy/answer_sizes.cpp
@@ -4,7 +4,7 @@
 
 using namespace celeryramp::proxy;
 
-TEST_CASE("The size of answers is learned for each route and follows them")
+TEST_CASE("The average answer size is kept for each route and follows new answers")
 {
     AnswerSizes sizes;
     CHECK(sizes.expected("stock") == 0);
@@ -18,7 +18,7 @@
     CHECK(sizes.expected("stock") < 1100);
 }
 
-TEST_CASE("Urgent calls may take more bytes between zones")
+TEST_CASE("Urgent calls may transfer more bytes between zones")
 {
     CHECK(spillAllowance(0) > spillAllowance(1));
     CHECK(spillAllowance(1) > spillAllowance(2));
--- a/test/proxy/call_course.cpp
+++ b/test/proxy/call_course.cpp
@@ -13,11 +13,11 @@
 
 const TimePoint kStart{std::chrono::hours{1}};
 
-/*! A service with servers whose ids begin with `near` in the own zone and others elsewhere. */
-class Site final : public CandidateSource
+/*! A service whose servers are in the local zone if their ids begin with `near`. */
+class TestService final : public CandidateSource
 {
 public:
-    explicit Site(std::initializer_list<const char *> ids)
+    explicit TestService(std::initializer_list<const char *> ids)
     {
         for (const auto *id : ids) {
             directory::BackendServer server;
@@ -79,95 +79,95 @@
 
 } // namespace
 
-TEST_CASE("A call that must not run twice is never asked for again once it may have run")
+TEST_CASE("A call that is not idempotent is not retried once it may have run")
 {
-    Site site{"near-1", "near-2"};
+    TestService service{"near-1", "near-2"};
     CallCourse course{terms(false)};
-    REQUIRE(std::holds_alternative<AskStep>(course.begin(site.tools(), kStart)));
-    const auto step = course.onReply(lost(), site.tools(), kStart + Millis{10});
+    REQUIRE(std::holds_alternative<AskStep>(course.begin(service.tools(), kStart)));
+    const auto step = course.onReply(lost(), service.tools(), kStart + Millis{10});
     REQUIRE(std::get<GiveUpStep>(step).status == 502);
     REQUIRE_FALSE(std::get<GiveUpStep>(step).retryAfter);
 }
 
-TEST_CASE("A failure of the server that must not be repeated is passed on as it is")
+TEST_CASE("A server error of a call that is not idempotent is forwarded unchanged")
 {
-    Site site{"near-1", "near-2"};
+    TestService service{"near-1", "near-2"};
     CallCourse course{terms(false)};
-    static_cast<void>(course.begin(site.tools(), kStart));
+    static_cast<void>(course.begin(service.tools(), kStart));
     REQUIRE(std::holds_alternative<AnswerStep>(
-            course.onReply(answered(500), site.tools(), kStart + Millis{10})));
+            course.onReply(answered(500), service.tools(), kStart + Millis{10})));
 }
 
-TEST_CASE("A call that may run twice is repeated within its attempts")
+TEST_CASE("An idempotent call is retried within its attempts")
 {
-    Site site{"near-1", "near-2", "near-3"};
+    TestService service{"near-1", "near-2", "near-3"};
     CallCourse course{terms(true, 2)};
-    const auto first = std::get<AskStep>(course.begin(site.tools(), kStart));
-    const auto second = std::get<AskStep>(course.onReply(lost(), site.tools(), kStart));
+    const auto first = std::get<AskStep>(course.begin(service.tools(), kStart));
+    const auto second = std::get<AskStep>(course.onReply(lost(), service.tools(), kStart));
     REQUIRE(first.server->id != second.server->id);
-    const auto end = std::get<GiveUpStep>(course.onReply(lost(), site.tools(), kStart));
+    const auto end = std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart));
     REQUIRE(end.status == 502);
     REQUIRE(course.arrivals() == 2);
 }
 
-TEST_CASE("A call that may have run at one server never ends as not run by another's refusal")
+TEST_CASE("A call that may have run is not reported as not run after a refusal by another server")
 {
-    Site site{"near-1", "near-2"};
+    TestService service{"near-1", "near-2"};
     CallCourse course{terms(true, 3)};
-    static_cast<void>(course.begin(site.tools(), kStart));
-    REQUIRE(std::holds_alternative<AskStep>(course.onReply(lost(), site.tools(), kStart)));
-    const auto end = course.onReply(refusal(Reason::Busy), site.tools(), kStart);
+    static_cast<void>(course.begin(service.tools(), kStart));
+    REQUIRE(std::holds_alternative<AskStep>(course.onReply(lost(), service.tools(), kStart)));
+    const auto end = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 502);
 }
 
-TEST_CASE("Refusals of gates cost no attempt, those of servers do and draw on the budget")
+TEST_CASE("Refusals by gates cost no attempt but refusals by servers do")
 {
-    Site site{"near-1", "near-2", "near-3", "far-1"};
+    TestService service{"near-1", "near-2", "near-3", "far-1"};
     CallCourse course{terms(false, 1)};
-    static_cast<void>(course.begin(site.tools(), kStart));
+    static_cast<void>(course.begin(service.tools(), kStart));
     REQUIRE(std::holds_alternative<AskStep>(
-            course.onReply(refusal(Reason::Draining), site.tools(), kStart)));
+            course.onReply(refusal(Reason::Draining), service.tools(), kStart)));
     REQUIRE(course.arrivals() == 0);
-    const auto end = course.onReply(refusal(Reason::Shed, true), site.tools(), kStart);
+    const auto end = course.onReply(refusal(Reason::Shed, true), service.tools(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 503);
     REQUIRE(std::get<GiveUpStep>(end).retryAfter);
 }
 
-TEST_CASE("Pattern: retry storm, repetitions end with the budget")
+TEST_CASE("Pattern: retry storm - retries end when the budget is spent")
 {
-    Site site{"near-1", "near-2", "near-3"};
-    while (site.retries().trySpend("stock")) { }
+    TestService service{"near-1", "near-2", "near-3"};
+    while (service.retries().trySpend("stock")) { }
     CallCourse course{terms(true, 3)};
-    static_cast<void>(course.begin(site.tools(), kStart));
-    REQUIRE(std::get<GiveUpStep>(course.onReply(lost(), site.tools(), kStart)).status == 502);
+    static_cast<void>(course.begin(service.tools(), kStart));
+    REQUIRE(std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart)).status == 502);
 }
 
-TEST_CASE("Pattern: a large zone is full, other zones are asked before the asks are used up")
+TEST_CASE("Pattern: a large zone is full - other zones are tried before the offers are used up")
 {
-    Site site{"near-1", "near-2", "near-3", "near-4", "near-5",
-              "near-6", "near-7", "near-8", "near-9", "far-1"};
+    TestService service{"near-1", "near-2", "near-3", "near-4", "near-5",
+                        "near-6", "near-7", "near-8", "near-9", "far-1"};
     CallCourse course{terms()};
-    auto step = course.begin(site.tools(), kStart);
+    auto step = course.begin(service.tools(), kStart);
     bool hasAskedFar = false;
     for (int i = 0; i < 6 && std::holds_alternative<AskStep>(step); ++i) {
         const auto &ask = std::get<AskStep>(step);
         hasAskedFar = hasAskedFar || ask.server->id == "far-1";
         auto reply = refusal(Reason::Busy);
         reply.load.waiting = 100;
-        step = course.onReply(reply, site.tools(), kStart);
+        step = course.onReply(reply, service.tools(), kStart);
     }
     REQUIRE(hasAskedFar);
 }
 
-TEST_CASE("Pattern: overload, few gates are asked again to serve late, then the caller is told")
+TEST_CASE("Pattern: overload - few gates are offered the call late and then it is refused")
 {
-    Site site{"near-1", "near-2", "near-3", "near-4", "near-5", "near-6"};
+    TestService service{"near-1", "near-2", "near-3", "near-4", "near-5", "near-6"};
     CallCourse course{terms()};
-    auto step = course.begin(site.tools(), kStart);
+    auto step = course.begin(service.tools(), kStart);
     int late = 0;
     while (std::holds_alternative<AskStep>(step)) {
         late += std::get<AskStep>(step).mayBeLate ? 1 : 0;
-        step = course.onReply(refusal(Reason::Busy), site.tools(), kStart);
+        step = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
     }
     REQUIRE(late == 4);
     const auto end = std::get<GiveUpStep>(step);
@@ -176,14 +176,14 @@
     REQUIRE(*end.retryAfter >= Millis{50});
 }
 
-TEST_CASE("A call whose time ends at a gate may have run; one that was never asked for has not")
+TEST_CASE("A timeout at a gate ends as a timeout and a call without servers as not run")
 {
-    Site site{"near-1"};
+    TestService service{"near-1"};
     CallCourse course{terms()};
-    static_cast<void>(course.begin(site.tools(), kStart));
-    REQUIRE(course.onTimeout(site.tools(), kStart + Millis{1200}).status == 504);
+    static_cast<void>(course.begin(service.tools(), kStart));
+    REQUIRE(course.onTimeout(service.tools(), kStart + Millis{1200}).status == 504);
 
-    Site empty{};
+    TestService empty{};
     CallCourse other{terms()};
     const auto end = std::get<GiveUpStep>(other.begin(empty.tools(), kStart));
     REQUIRE(end.status == 503);
--- a/test/proxy/crash_registry.cpp
+++ b/test/proxy/crash_registry.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("Pattern: a request that crashes each server is refused everywhere after the third")
+TEST_CASE("Pattern: a request that crashes each server is quarantined after the third crash")
 {
     CrashRegistry elsewhere;
     auto now = kStart;
@@ -29,12 +29,12 @@
     }
     REQUIRE(elsewhere.isQuarantined(7, now));
     REQUIRE_FALSE(elsewhere.isQuarantined(8, now));
-    elsewhere.sweep(now + kCrashMemory);
-    REQUIRE_FALSE(elsewhere.isQuarantined(7, now + kCrashMemory));
+    elsewhere.sweep(now + kCrashRetention);
+    REQUIRE_FALSE(elsewhere.isQuarantined(7, now + kCrashRetention));
     REQUIRE(elsewhere.isEmpty());
 }
 
-TEST_CASE("Pattern: servers die of other causes, requests that are answered stay innocent")
+TEST_CASE("Pattern: servers crash for other reasons - answered requests are not quarantined")
 {
     CrashRegistry registry;
     for (std::uint64_t i = 0; i < 10; ++i) {
@@ -46,7 +46,8 @@
     }
 }
 
-TEST_CASE("Told twice of one crash counts once: a loss long before a crash is none of its signs")
+TEST_CASE(
+        "Repeated reports of one crash count once and a loss long before a crash is not suspected")
 {
     CrashRegistry registry;
     for (int i = 0; i < 5; ++i) {
@@ -54,10 +55,10 @@
     }
     REQUIRE_FALSE(registry.isQuarantined(5, kStart));
     registry.onLost(6, kStart);
-    REQUIRE(registry.onServerDown("server", kStart + kCrashSign + Millis{1}).empty());
+    REQUIRE(registry.onServerDown("server", kStart + kMaxDetectionDelay + Millis{1}).empty());
 }
 
-TEST_CASE("The same request of another account, target or body is another one")
+TEST_CASE("The digest differs by account and body")
 {
     http::Request request;
     request.method = "GET";
--- a/test/proxy/fleet_limiter.cpp
+++ b/test/proxy/fleet_limiter.cpp
@@ -19,7 +19,7 @@
 constexpr int kZones = 3;
 constexpr int kNodesPerZone = 4;
 
-/*! A fleet whose news travel as they do between nodes: 250 ms in a zone, 500 ms between zones. */
+/*! A fleet that exchanges usage reports every 250 ms in a zone and every 500 ms between zones. */
 class Fleet
 {
 public:
@@ -35,17 +35,17 @@
         }
         m_nodes.resize(kZones * kNodesPerZone);
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            m_alone.emplace_back("zone-" + std::to_string(i / kNodesPerZone));
+            m_isolatedLedgers.emplace_back("zone-" + std::to_string(i / kNodesPerZone));
         }
-        // Nodes talk before the first request comes.
+        // The nodes exchange reports before the first request.
         const std::vector<bool> none(kZones, false);
         for (int i = 0; i < 1000; ++i) {
             static_cast<void>(step(0.0, std::vector<double>(m_nodes.size(), 0.0), none));
         }
     }
 
-    /*! One millisecond. @param perSecond Requests a second over the fleet. @param weights How they
-     * spread over the nodes. @return Requests admitted. */
+    /*! Simulates one millisecond. @param perSecond Requests per second over the fleet. @param
+     * weights Share of each node. @param cut Zones that are cut off. @return Requests admitted. */
     int step(double perSecond, const std::vector<double> &weights, const std::vector<bool> &cut)
     {
         int admitted = 0;
@@ -59,31 +59,31 @@
         ++m_tick;
         now += Millis{1};
         if (m_tick % 250 == 0) {
-            talk(cut);
+            exchangeReports(cut);
         }
         return admitted;
     }
 
     TimePoint now = kStart;
     int asked = 0;
-    std::set<std::size_t> silent; /*!< Nodes that nobody hears and that hear nobody. */
+    std::set<std::size_t> isolated; /*!< Nodes without a connection to any other. */
 
 private:
-    void talk(const std::vector<bool> &cut)
+    void exchangeReports(const std::vector<bool> &cut)
     {
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (silent.count(i) == 0) {
+            if (isolated.count(i) == 0) {
                 m_ledgers[i / kNodesPerZone].addNodeReport("node-" + std::to_string(i),
                                                            m_nodes[i].takeReport(), now);
             }
         }
-        talkAlone();
+        aggregateIsolated();
         for (std::size_t zone = 0; zone < kZones; ++zone) {
             std::vector<std::string> names;
             for (std::size_t i = 0; i < kNodesPerZone; ++i) {
                 names.push_back("node-" + std::to_string(zone * kNodesPerZone + i));
             }
-            names.erase(names.begin()); // the first of each zone adds up
+            names.erase(names.begin()); // the first node of each zone aggregates
             m_ledgers[zone].countNodes(names, m_nodes.size(), now);
         }
         if (m_tick % 500 == 0) {
@@ -99,18 +99,18 @@
             }
         }
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (silent.count(i) > 0) {
+            if (isolated.count(i) > 0) {
                 continue;
             }
             m_nodes[i].onLevels(m_ledgers[i / kNodesPerZone].levels(*m_routing, now), now);
         }
     }
 
-    /*! A node that hears nobody adds up for itself. */
-    void talkAlone()
+    /*! Isolated nodes aggregate their own usage. */
+    void aggregateIsolated()
     {
-        for (const auto i : silent) {
-            auto &ledger = m_alone.at(i);
+        for (const auto i : isolated) {
+            auto &ledger = m_isolatedLedgers.at(i);
             const auto name = [](std::size_t n) { return "node-" + std::to_string(n); };
             ledger.addNodeReport(name(i), m_nodes[i].takeReport(), now);
             std::vector<std::string> others;
@@ -128,7 +128,8 @@
     directory::ClientAccount m_account;
     std::unique_ptr<directory::RoutingTable> m_routing;
     std::vector<UsageLedger> m_ledgers;
-    std::vector<UsageLedger> m_alone; /*!< Of each node, for when it hears nobody. */
+    std::vector<UsageLedger>
+            m_isolatedLedgers; /*!< One for each node, used while it is isolated. */
     std::vector<FleetLimiter> m_nodes;
     RandomEngine m_random{20261204};
     int m_tick = 0;
@@ -150,10 +151,11 @@
 constexpr double kOverage = 0.25;
 constexpr double kSlack = 20.0;
 
-/*! Plays seconds of demand. @return The most admitted in any window of the bound. */
-int mostInWindow(Fleet &fleet, const std::vector<double> &perSecond,
-                 const std::vector<double> &weights,
-                 const std::vector<bool> &cut = std::vector<bool>(kZones, false))
+/*! Simulates one second for each demand given. @return Maximum number of requests admitted in any
+ *  window of `kWindowSeconds`. */
+int maxInWindow(Fleet &fleet, const std::vector<double> &perSecond,
+                const std::vector<double> &weights,
+                const std::vector<bool> &cut = std::vector<bool>(kZones, false))
 {
     std::vector<int> admitted;
     for (const auto rate : perSecond) {
@@ -179,7 +181,7 @@
 
 } // namespace
 
-TEST_CASE("Pattern: an account below its limit is refused nothing, wherever it enters")
+TEST_CASE("Pattern: an account below its limit is not refused at one node or many")
 {
     const auto weights = GENERATE(evenly(), atOneNode());
     const double rate = GENERATE(8.0, 80.0);
@@ -190,11 +192,11 @@
     }
     CAPTURE(rate);
     REQUIRE(fleet.asked > 0);
-    // The stated target: under one refusal in 200.
+    // Requirement: at most one refusal in 200 requests.
     REQUIRE(fleet.asked - admitted <= fleet.asked / 200);
 }
 
-TEST_CASE("Pattern: one account sends many times its limit, suddenly and from everywhere")
+TEST_CASE("Pattern: one account suddenly sends many times its limit at one node or many")
 {
     const auto weights = GENERATE(evenly(), atOneNode());
     const double rate = GENERATE(8.0, 80.0);
@@ -203,10 +205,10 @@
                                      rate * 5.0, rate * 5.0, rate * 5.0, rate * 0.6, rate * 5.0,
                                      rate * 5.0, rate * 5.0, rate * 5.0, rate * 5.0};
     CAPTURE(rate);
-    REQUIRE(mostInWindow(fleet, demand, weights) <= bound(rate, rate));
+    REQUIRE(maxInWindow(fleet, demand, weights) <= bound(rate, rate));
 }
 
-TEST_CASE("Pattern: an account over its limit still gets all of it")
+TEST_CASE("Pattern: an account over its limit still gets its full rate")
 {
     const double rate = 40.0;
     Fleet fleet{rate, rate};
@@ -217,39 +219,40 @@
     REQUIRE(admitted >= static_cast<int>(rate * 20.0 * 0.95));
 }
 
-TEST_CASE("Pattern: a zone is cut off as an account turns hot, both sides keep to their shares")
+TEST_CASE("Pattern: a zone is cut off as an account exceeds its limit - both sides keep to their "
+          "shares")
 {
     const double rate = 80.0;
     Fleet fleet{rate, rate};
-    const std::vector<double> calm(4, rate * 0.6);
-    static_cast<void>(mostInWindow(fleet, calm, evenly()));
-    const std::vector<double> hot(12, rate * 5.0);
+    const std::vector<double> normal(4, rate * 0.6);
+    static_cast<void>(maxInWindow(fleet, normal, evenly()));
+    const std::vector<double> excessive(12, rate * 5.0);
     std::vector<bool> cut(kZones, false);
     cut.front() = true;
-    REQUIRE(mostInWindow(fleet, hot, evenly(), cut) <= bound(rate, rate));
+    REQUIRE(maxInWindow(fleet, excessive, evenly(), cut) <= bound(rate, rate));
 }
 
-TEST_CASE("Pattern: a third of the nodes is cut off from all others while an account turns hot")
+TEST_CASE("Pattern: a third of the nodes is isolated as an account exceeds its limit")
 {
     const double rate = 80.0;
     Fleet fleet{rate, rate};
-    fleet.silent = {1, 3, 5, 10};
-    const std::vector<double> calm(3, rate * 0.6);
-    static_cast<void>(mostInWindow(fleet, calm, evenly()));
-    const std::vector<double> hot(10, rate * 5.0);
-    REQUIRE(mostInWindow(fleet, hot, evenly()) <= bound(rate, rate));
+    fleet.isolated = {1, 3, 5, 10};
+    const std::vector<double> normal(3, rate * 0.6);
+    static_cast<void>(maxInWindow(fleet, normal, evenly()));
+    const std::vector<double> excessive(10, rate * 5.0);
+    REQUIRE(maxInWindow(fleet, excessive, evenly()) <= bound(rate, rate));
 }
 
-TEST_CASE(
-        "Pattern: six of twelve nodes are cut off one by one while an account is hot all the time")
+TEST_CASE("Pattern: six of twelve nodes are isolated while an account exceeds its limit")
 {
     const double rate = 80.0;
     Fleet fleet{rate, rate};
-    static_cast<void>(mostInWindow(fleet, std::vector<double>(3, rate * 0.6), evenly()));
-    const std::vector<double> hot(10, rate * 7.5);
-    fleet.silent = {1, 2, 3, 5, 6, 10};
-    REQUIRE(mostInWindow(fleet, hot, evenly()) <= bound(rate, rate));
-    // What cut nodes may admit is left to them: in the long run nobody exceeds the limit.
+    static_cast<void>(maxInWindow(fleet, std::vector<double>(3, rate * 0.6), evenly()));
+    const std::vector<double> excessive(10, rate * 7.5);
+    fleet.isolated = {1, 2, 3, 5, 6, 10};
+    REQUIRE(maxInWindow(fleet, excessive, evenly()) <= bound(rate, rate));
+    // The connected nodes leave the isolated ones their share, so in the long run the fleet keeps
+    // to the limit.
     int admitted = 0;
     for (int ms = 0; ms < 10'000; ++ms) {
         admitted += fleet.step(rate * 7.5, evenly(), std::vector<bool>(kZones, false));
--- a/test/proxy/frame_codec.cpp
+++ b/test/proxy/frame_codec.cpp
@@ -6,7 +6,7 @@
 using namespace celeryramp;
 using namespace celeryramp::proxy;
 
-TEST_CASE("Calls and replies survive the way, bytes included")
+TEST_CASE("Calls and replies with binary data are unchanged after encoding and decoding")
 {
     CallFrame call;
     call.id = 1U;
@@ -47,7 +47,7 @@
     REQUIRE(backReply.load.coldWaitMillis == -1);
 }
 
-TEST_CASE("News tell removed items from empty ones")
+TEST_CASE("Removed and empty items are distinct after encoding and decoding")
 {
     NewsFrame news{4, 6, {{"a", "", 5, true}, {"b", "x", 6, false}}, {}};
     const auto decoded = decodeFrame(encodeFrame(news));
@@ -58,7 +58,7 @@
     REQUIRE(back.changes.at(1).value == "x");
 }
 
-TEST_CASE("Damaged frames are errors, never crashes")
+TEST_CASE("Malformed frames are rejected without a crash")
 {
     rc::prop("random bytes",
              [](const std::string &bytes) { static_cast<void>(decodeFrame(bytes)); });
--- a/test/proxy/server_gate.cpp
+++ b/test/proxy/server_gate.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("Never more run than the server has slots")
+TEST_CASE("No more calls run than the server has slots")
 {
     auto gate = openGate(3);
     for (std::uint64_t i = 1; i <= 5; ++i) {
@@ -43,7 +43,7 @@
     REQUIRE_FALSE(gate.next(kStart));
 }
 
-TEST_CASE("Calls of servers go first, then rank, then the nearer target")
+TEST_CASE("Nested calls are served first and then calls by rank and target")
 {
     auto gate = openGate(1);
     static_cast<void>(gate.offer(call(1, 2), kStart));
@@ -59,7 +59,7 @@
     REQUIRE(order == std::vector<std::uint64_t>{5, 4, 3, 2, 1});
 }
 
-TEST_CASE("Pattern: overload with many late calls, those that can be in time go first")
+TEST_CASE("Pattern: overload with many late calls - timely calls are served first")
 {
     auto gate = openGate(1);
     static_cast<void>(gate.offer(call(1, 0, Millis{10}), kStart));
@@ -67,7 +67,7 @@
     REQUIRE(*gate.next(kStart) == 2);
 }
 
-TEST_CASE("Pattern: a burst beyond what the server can do is refused at once, not held")
+TEST_CASE("Pattern: a burst beyond the capacity of the server is refused at once")
 {
     auto gate = openGate(2);
     int taken = 0;
@@ -76,13 +76,13 @@
         (gate.offer(call(i), kStart) == Reason::None ? taken : refused) += 1;
         static_cast<void>(gate.next(kStart));
     }
-    // 2 slots of 100 ms a call end 20 calls a second; the deadline is 1.5 s away.
+    // 2 slots with 100 ms per call serve 20 calls per second; the deadline is in 1.5 s.
     REQUIRE(taken >= 20);
     REQUIRE(taken <= 33);
     REQUIRE(refused == 200 - taken);
 }
 
-TEST_CASE("Pattern: urgent calls push others out, these are refused while a retry still helps")
+TEST_CASE("Pattern: urgent calls displace another - it is refused while it can still be retried")
 {
     auto gate = openGate(1);
     static_cast<void>(gate.offer(call(1), kStart));
@@ -96,7 +96,7 @@
     REQUIRE(refusals.front().ticket == 2);
 }
 
-TEST_CASE("A cold server gets no more in any second than it bears")
+TEST_CASE("A cold server gets no more calls in any second than its cold start rate")
 {
     auto gate = openGate(50, 10.0);
     gate.cold().markCold(kStart + Millis{3000});
@@ -117,7 +117,7 @@
     }
 }
 
-TEST_CASE("A closed gate refuses what comes and what waits, with its reason")
+TEST_CASE("A closed gate refuses new and queued calls with its reason")
 {
     auto gate = openGate(1);
     static_cast<void>(gate.offer(call(1), kStart));
@@ -131,7 +131,7 @@
     REQUIRE(gate.running() == 1);
 }
 
-TEST_CASE("A cancelled call frees its place in the queue only")
+TEST_CASE("Only queued calls are removed by a cancellation")
 {
     auto gate = openGate(1);
     static_cast<void>(gate.offer(call(1), kStart));
@@ -143,7 +143,7 @@
     REQUIRE(gate.running() == 1);
 }
 
-TEST_CASE("Pattern: a node restarts beside a cold server, whose last second is not known")
+TEST_CASE("Pattern: a node restarts beside a cold server - calls wait for one second")
 {
     auto gate = openGate(50, 10.0);
     gate.cold().markCold(kStart + Millis{3000});
@@ -151,7 +151,7 @@
     static_cast<void>(gate.offer(call(1), kStart));
     REQUIRE_FALSE(gate.next(kStart + Millis{999}));
     REQUIRE(gate.next(kStart + Millis{1000}));
-    SECTION("shown to be warm, it is not held back")
+    SECTION("a server that has proved to be warm is not limited")
     {
         gate.cold().markUsed(kStart + Millis{1000});
         gate.cold().markWarm(kStart + Millis{1001});
@@ -160,8 +160,7 @@
     }
 }
 
-TEST_CASE(
-        "Pattern: overload by urgent calls, the work of servers that wait for answers is not lost")
+TEST_CASE("Pattern: overload by urgent calls - nested calls are still served")
 {
     auto gate = openGate(1);
     REQUIRE(gate.offer(call(1), kStart) == Reason::None);
@@ -174,14 +173,14 @@
     REQUIRE(*gate.next(kStart) == 20);
 }
 
-TEST_CASE("Pattern: lasting overload, late calls are told at once in place of waiting in vain")
+TEST_CASE("Pattern: lasting overload - late calls are refused at once instead of queued")
 {
     auto gate = openGate(4);
     auto now = kStart;
     std::uint64_t ticket = 1;
     int lateTaken = 0;
     std::deque<TimePoint> ends;
-    // 4 slots of 100 ms bear 40 calls a second; 50 come that can be in time, and 10 late ones.
+    // 4 slots with 100 ms per call serve 40 calls per second. 50 timely and 10 late ones arrive.
     for (int ms = 0; ms < 4000; ms += 20) {
         now = kStart + Millis{ms};
         while (!ends.empty() && ends.front() <= now) {
@@ -202,7 +201,7 @@
     REQUIRE(lateTaken <= 2);
 }
 
-TEST_CASE("Pattern: a server turns slow, its gate learns it from calls that were given up")
+TEST_CASE("Pattern: a server turns slow - the gate detects it from cancelled calls")
 {
     auto gate = openGate(16);
     auto now = kStart;
@@ -215,7 +214,7 @@
         gate.finished(HandoverEnd::Cancelled, Micros{1'500'000}, now);
     }
     REQUIRE(gate.load(now).badPercent > 50);
-    SECTION("and from those that it served late")
+    SECTION("and from calls that were served late")
     {
         for (std::uint64_t i = 20; i < 40; ++i) {
             REQUIRE(gate.offer(call(i, 0, Millis{500}, Millis{1500}, false, now), now)
@@ -227,7 +226,7 @@
     }
 }
 
-TEST_CASE("Pattern: callers that leave early tell nothing against the server")
+TEST_CASE("Pattern: calls cancelled early do not count against the server")
 {
     auto gate = openGate(16);
     for (std::uint64_t i = 1; i <= 16; ++i) {
@@ -241,7 +240,7 @@
     REQUIRE(gate.load(kStart + Millis{50}).badPercent == 0);
 }
 
-TEST_CASE("Pattern: a grey server is told by its gate and forgiven with time")
+TEST_CASE("Pattern: a partly failing server is reported by its gate and recovers with time")
 {
     auto gate = openGate(16);
     auto now = kStart;
@@ -251,13 +250,13 @@
         REQUIRE(gate.next(now));
         gate.finished(i % 2 == 0 ? HandoverEnd::Failed : HandoverEnd::Served, Micros{10'000}, now);
     }
-    const auto told = gate.load(now).badPercent;
-    REQUIRE(told > 30);
-    REQUIRE(told < 70);
+    const auto failurePercent = gate.load(now).badPercent;
+    REQUIRE(failurePercent > 30);
+    REQUIRE(failurePercent < 70);
     REQUIRE(gate.load(now + Millis{9000}).badPercent < 5);
 }
 
-TEST_CASE("Pattern: all servers are cold, calls of those that were handed work find room as well")
+TEST_CASE("Pattern: a cold server is overloaded - nested calls are still served")
 {
     auto gate = openGate(16, 15.0);
     gate.cold().markCold(kStart + Millis{5000});
@@ -266,7 +265,7 @@
     int nestedSent = 0;
     for (int ms = 0; ms < 4000; ms += 5) {
         const auto now = kStart + Millis{ms};
-        // Far more direct work than the server bears, and five nested calls a second.
+        // Far more direct calls than the cold start rate, and five nested calls per second.
         static_cast<void>(gate.offer(
                 {ticket++, 0, false, true, now, now + Millis{500}, now + Millis{1000}}, now));
         if (ms % 200 == 100) {
--- a/test/proxy/server_picker.cpp
+++ b/test/proxy/server_picker.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 const TimePoint kStart{std::chrono::hours{1}};
-const Wanted kWanted{Millis{500}, true};
+const PickRequirements kRequirements{Millis{500}, true};
 
 directory::BackendServer server(const char *id, int slots = 10)
 {
@@ -23,20 +23,20 @@
 
 } // namespace
 
-TEST_CASE("The own zone goes before others")
+TEST_CASE("The local zone is preferred")
 {
     const auto near = server("near");
     const auto far = server("far");
     const std::vector<Candidate> candidates{{&far, false, false}, {&near, true, false}};
     ServerPicker picker{1};
     for (int i = 0; i < 20; ++i) {
-        REQUIRE(picker.pick(candidates, kWanted, kStart).server->id == "near");
+        REQUIRE(picker.pick(candidates, kRequirements, kStart).server->id == "near");
     }
-    REQUIRE(picker.pick({candidates.data(), 1}, kWanted, kStart).server->id == "far");
-    REQUIRE(picker.pick({}, kWanted, kStart).server == nullptr);
+    REQUIRE(picker.pick({candidates.data(), 1}, kRequirements, kStart).server->id == "far");
+    REQUIRE(picker.pick({}, kRequirements, kStart).server == nullptr);
 }
 
-TEST_CASE("Pattern: a server that fails part of its calls loses work and gets it back when sound")
+TEST_CASE("Pattern: a partly failing server gets fewer calls until it has recovered")
 {
     const auto good = server("good");
     const auto bad = server("bad");
@@ -48,7 +48,7 @@
     auto now = kStart;
     for (int i = 0; i < 300; ++i) {
         now += Millis{10};
-        const auto id = picker.pick(candidates, kWanted, now).server->id;
+        const auto id = picker.pick(candidates, kRequirements, now).server->id;
         ++counts[id];
         picker.onSent(id);
         picker.onReply(id, load, id == "good" || outcomes.unit() < 0.5, now);
@@ -57,7 +57,7 @@
     counts.clear();
     for (int i = 0; i < 2000; ++i) {
         now += Millis{10};
-        const auto id = picker.pick(candidates, kWanted, now).server->id;
+        const auto id = picker.pick(candidates, kRequirements, now).server->id;
         ++counts[id];
         picker.onSent(id);
         picker.onReply(id, load, true, now);
@@ -65,7 +65,7 @@
     REQUIRE(counts["bad"] > 300);
 }
 
-TEST_CASE("Pattern: unequal servers, work goes where there is room")
+TEST_CASE("Pattern: servers with unequal slots - a small server is not overloaded")
 {
     const auto big = server("big", 30);
     const auto small = server("small", 5);
@@ -73,58 +73,57 @@
     ServerPicker picker{1};
     std::map<std::string, int> inFlight;
     for (int i = 0; i < 30; ++i) {
-        const auto id = picker.pick(candidates, kWanted, kStart).server->id;
+        const auto id = picker.pick(candidates, kRequirements, kStart).server->id;
         picker.onSent(id);
         ++inFlight[id];
     }
     REQUIRE(inFlight["small"] <= 5);
 }
 
-TEST_CASE("Pattern: servers of unequal speed, the faster ones go first until they are nearly full")
+TEST_CASE("Pattern: servers of unequal speed - the faster one is preferred until it is full")
 {
     const auto fast = server("fast", 16);
     const auto slow = server("slow", 16);
     const std::vector<Candidate> candidates{{&fast, true, false}, {&slow, true, false}};
     ServerPicker picker{1};
-    const auto hear = [&picker](const char *id, int running, int millis) {
+    const auto report = [&picker](const char *id, int running, int millis) {
         picker.onSent(id);
         picker.onReply(id, {running, 0, 16, millis, -1, 0}, true, kStart);
     };
-    hear("fast", 6, 140);
-    hear("slow", 2, 420);
+    report("fast", 6, 140);
+    report("slow", 2, 420);
     for (int i = 0; i < 20; ++i) {
-        REQUIRE(picker.pick(candidates, kWanted, kStart).server->id == "fast");
+        REQUIRE(picker.pick(candidates, kRequirements, kStart).server->id == "fast");
     }
-    hear("fast", 60, 140);
+    report("fast", 60, 140);
     for (int i = 0; i < 20; ++i) {
-        REQUIRE(picker.pick(candidates, kWanted, kStart).server->id == "slow");
+        REQUIRE(picker.pick(candidates, kRequirements, kStart).server->id == "slow");
     }
 }
 
-TEST_CASE("Pattern: the only server of a zone is overloaded, others are asked in good time")
+TEST_CASE("Pattern: the only server of a zone is overloaded - calls spill to another zone")
 {
     const auto near = server("near", 16);
     const auto far = server("far", 16);
     const std::vector<Candidate> candidates{{&near, true, false}, {&far, false, false}};
     ServerPicker picker{1};
-    const auto hear = [&picker](const char *id, int running) {
+    const auto report = [&picker](const char *id, int running) {
         picker.onSent(id);
         picker.onReply(id, {running, 0, 16, 150, -1, 0}, true, kStart);
     };
-    hear("near", 15);
-    hear("far", 4);
-    // Nearly full is no reason to pay for bytes between zones.
-    REQUIRE(picker.pick(candidates, kWanted, kStart).server->id == "near");
-    hear("near", 70);
-    REQUIRE(picker.pick(candidates, kWanted, kStart).server->id == "far");
-    // What takes more bytes than it is worth stays.
+    report("near", 15);
+    report("far", 4);
+    // A nearly full server still meets the target, so the call does not spill.
+    REQUIRE(picker.pick(candidates, kRequirements, kStart).server->id == "near");
+    report("near", 70);
+    REQUIRE(picker.pick(candidates, kRequirements, kStart).server->id == "far");
+    // A call that may not spill stays in the zone.
     REQUIRE(picker.pick(candidates, {Millis{500}, false}, kStart).server->id == "near");
-    // With ample time the wait does not matter.
+    // With enough time left, the local server still meets the target.
     REQUIRE(picker.pick(candidates, {Millis{5000}, true}, kStart).server->id == "near");
 }
 
-TEST_CASE("Pattern: most servers of a zone are grey, sound ones elsewhere are found by what gates "
-          "tell")
+TEST_CASE("Pattern: the servers of a zone fail partly - healthy ones elsewhere are found")
 {
     std::vector<directory::BackendServer> servers;
     for (const char *id : {"grey-1", "grey-2", "grey-3", "grey-4", "sound"}) {
@@ -140,19 +139,19 @@
         picker.onReply(it.id, {1, 0, 10, 50, -1, it.id == "sound" ? 0 : 50}, true, kStart);
     }
     for (int i = 0; i < 20; ++i) {
-        REQUIRE(picker.pick(candidates, kWanted, kStart).server->id == "sound");
+        REQUIRE(picker.pick(candidates, kRequirements, kStart).server->id == "sound");
     }
-    // All alike: nothing is gained by going elsewhere.
+    // All servers fail alike, so the call stays in the local zone.
     picker.onSent("sound");
     picker.onReply("sound", {1, 0, 10, 50, -1, 50}, true, kStart);
     int near = 0;
     for (int i = 0; i < 20; ++i) {
-        near += picker.pick(candidates, kWanted, kStart).server->id == "sound" ? 0 : 1;
+        near += picker.pick(candidates, kRequirements, kStart).server->id == "sound" ? 0 : 1;
     }
     REQUIRE(near == 20);
 }
 
-TEST_CASE("A call that its caller gives up tells nothing against the server")
+TEST_CASE("A call cancelled by its caller does not count against the server")
 {
     const auto one = server("one");
     const auto other = server("other");
@@ -164,7 +163,7 @@
     }
     int chosen = 0;
     for (int i = 0; i < 100; ++i) {
-        chosen += picker.pick(candidates, kWanted, kStart).server->id == "one" ? 1 : 0;
+        chosen += picker.pick(candidates, kRequirements, kStart).server->id == "one" ? 1 : 0;
     }
     REQUIRE(chosen > 20);
 }
--- a/test/proxy/split_chooser.cpp
+++ b/test/proxy/split_chooser.cpp
@@ -9,7 +9,7 @@
 using namespace celeryramp;
 using namespace celeryramp::proxy;
 
-TEST_CASE("Each destination gets its share to within one request at any time")
+TEST_CASE("Each service gets its share to within two requests at any time")
 {
     rc::prop("share", [](std::uint64_t seed) {
         const auto a = *rc::gen::inRange(1, 100);
@@ -27,7 +27,7 @@
     });
 }
 
-TEST_CASE("A destination without weight gets nothing: changed weights hold at once")
+TEST_CASE("A service without weight gets no requests and new weights apply at once")
 {
     directory::Route route;
     route.name = "r";
