--- a/src/celeryramp/engine/backend_gate.cpp
+++ b/src/celeryramp/engine/backend_gate.cpp
@@ -11,18 +11,18 @@
 
 namespace internal {
 
-/*! The server is on the same machine; a connection that takes longer meets a full queue. */
+/*! The server runs on the same host, so a slower connect means that its accept queue is full. */
 constexpr Millis kConnectTimeout{500};
-/*! Idle time up to which a connection is trusted with a request that must not be repeated. */
-constexpr Millis kTrustedIdle{1000};
-/*! Time between looks at calls that wait, for those that cannot be served any more. */
+/*! Longest idle time of a connection that is reused for a request that must not be repeated. */
+constexpr Millis kMaxIdleForNonIdempotent{1000};
+/*! Interval at which queued calls that can no longer be served are refused. */
 constexpr Millis kExpiryInterval{25};
-/*! Pause between two questions to a server that may be cold. */
-constexpr Millis kProbePause{300};
-/*! Time for which a server counts as cold when its service does not say how long it is. */
-constexpr Millis kUnknownCold{3000};
-/*! A server that is left less time would only start what it cannot end. */
-constexpr Millis kLeastHandedOver{5};
+/*! Minimum time between two health probes of the server. */
+constexpr Millis kProbeInterval{300};
+/*! Time for which a server is treated as cold when its service configures no cold start time. */
+constexpr Millis kDefaultColdDuration{3000};
+/*! With less time left, the server would start a request that it cannot finish. */
+constexpr Millis kMinServerTime{5};
 constexpr int kServerError = 500;
 
 } // namespace internal
@@ -30,7 +30,7 @@
 BackendGate::BackendGate(boost::asio::io_context &context, const EngineSettings &settings,
                          const proxy::Dialect &dialect, proxy::CrashRegistry &crashes,
                          MetricsRegistry &metrics)
-    : m_startedAt{bootNow()}, m_timer{context}, m_settings{settings}, m_dialect{dialect},
+    : m_startedAt{bootNow()}, m_expiryTimer{context}, m_settings{settings}, m_dialect{dialect},
       m_crashes{crashes}, m_metrics{metrics}, m_pool{context, settings.backend,
                                                      http::PoolSettings{internal::kConnectTimeout}}
 { }
@@ -40,7 +40,7 @@
     if (m_server.id.empty()) {
         return proxy::Reason::NoServer;
     }
-    if (m_isLeaving || m_server.isDraining) {
+    if (m_isShuttingDown || m_server.isDraining) {
         return proxy::Reason::Draining;
     }
     if (m_view->evacuatedZones.count(m_server.zone) > 0) {
@@ -57,14 +57,15 @@
         m_server = {};
     } else {
         if (m_server.id.empty()) {
-            // What a predecessor of this process handed over in its last second is not known.
-            m_gate.cold().markUsed(m_startedAt);
+            // An earlier process may have sent requests to the server in its last second.
+            // Their number is unknown, so the window counts as used up.
+            m_admission.cold().markUsed(m_startedAt);
         }
         if (!m_server.isSameIncarnation(*server)) {
-            doubtServer("new-incarnation");
-            tellCrash(now);
+            assumeCold("new-incarnation");
+            reportCrash(now);
         } else if (server->learnedAt != m_server.learnedAt && server->coldRemaining.count() > 0) {
-            m_gate.cold().markCold(now + server->coldRemaining);
+            m_admission.cold().markCold(now + server->coldRemaining);
         }
         m_server = *server;
         if (view->routing) {
@@ -72,26 +73,26 @@
                 m_service = *service;
             }
         }
-        m_gate.setServer(m_server.slots, m_service.coldPerSecond);
+        m_admission.setServer(m_server.slots, m_service.coldPerSecond);
     }
     updateClosed(now);
-    probeIfDoubted(now);
-    pump(now);
+    probeIfNeeded(now);
+    dispatchWaiting(now);
 }
 
-void BackendGate::leave(TimePoint now)
+void BackendGate::stopAdmitting(TimePoint now)
 {
-    m_isLeaving = true;
+    m_isShuttingDown = true;
     updateClosed(now);
 }
 
 void BackendGate::updateClosed(TimePoint now)
 {
-    const auto before = m_gate.closed();
+    const auto before = m_admission.closed();
     const auto closed = closedReason();
-    m_gate.setClosed(closed);
+    m_admission.setClosed(closed);
     if (before == proxy::Reason::Evacuated && closed == proxy::Reason::None) {
-        doubtServer("zone-back");
+        assumeCold("zone-back");
     }
     if (closed != before) {
         logEvent(LogLevel::Info, "gate", "gate-state",
@@ -99,77 +100,77 @@
                   {"closed", std::string{proxy::reasonName(closed)}},
                   {"revision", std::to_string(m_view ? m_view->revision : 0)}});
     }
-    for (const auto &refusal : m_gate.expire(now)) {
+    for (const auto &refusal : m_admission.expire(now)) {
         refuse(refusal.ticket, refusal.reason, now);
     }
 }
 
-void BackendGate::offer(const std::string &origin, proxy::CallFrame call, Reply reply,
-                        TimePoint now)
+void BackendGate::submit(const std::string &origin, proxy::CallFrame call, Reply reply,
+                         TimePoint now)
 {
     const auto ticket = m_nextTicket++;
     auto &held = m_calls[ticket];
     held.origin = origin;
     held.reply = std::move(reply);
-    held.arrived = now;
+    held.arrivedAt = now;
     held.deadline = now + call.deadline;
     held.frame = std::move(call);
     const auto &frame = held.frame;
-    m_tickets[{origin, frame.id}] = ticket;
-    auto reason = m_gate.closed();
+    m_ticketsByCallId[{origin, frame.id}] = ticket;
+    auto reason = m_admission.closed();
     if (reason == proxy::Reason::None && frame.serverId != m_server.id) {
         reason = proxy::Reason::WrongServer;
     }
     if (reason == proxy::Reason::None) {
-        probeIfDoubted(now);
-        reason = m_gate.offer({ticket, frame.rank, frame.isNested, frame.mayQueue, now,
-                               now + frame.target, held.deadline},
-                              now);
+        probeIfNeeded(now);
+        reason = m_admission.offer({ticket, frame.rank, frame.isNested, frame.mayQueue, now,
+                                    now + frame.target, held.deadline},
+                                   now);
     }
     if (reason != proxy::Reason::None) {
         refuse(ticket, reason, now);
         return;
     }
-    pump(now);
+    dispatchWaiting(now);
 }
 
-void BackendGate::pump(TimePoint now)
+void BackendGate::dispatchWaiting(TimePoint now)
 {
-    while (const auto ticket = m_gate.next(now)) {
-        handOver(*ticket, now);
+    while (const auto ticket = m_admission.next(now)) {
+        sendToServer(*ticket, now);
     }
-    if (m_gate.waiting() > 0) {
-        armTimer();
+    if (m_admission.waiting() > 0) {
+        armExpiryTimer();
     }
 }
 
-void BackendGate::armTimer()
+void BackendGate::armExpiryTimer()
 {
-    if (m_isTimerArmed) {
+    if (m_isExpiryTimerArmed) {
         return;
     }
-    m_isTimerArmed = true;
-    m_timer.expires_after(internal::kExpiryInterval);
-    m_timer.async_wait([this](const boost::system::error_code &ec) {
-        m_isTimerArmed = false;
+    m_isExpiryTimerArmed = true;
+    m_expiryTimer.expires_after(internal::kExpiryInterval);
+    m_expiryTimer.async_wait([this](const boost::system::error_code &ec) {
+        m_isExpiryTimerArmed = false;
         if (ec) {
             return;
         }
         const auto now = bootNow();
-        for (const auto &refusal : m_gate.expire(now)) {
+        for (const auto &refusal : m_admission.expire(now)) {
             refuse(refusal.ticket, refusal.reason, now);
         }
-        pump(now);
+        dispatchWaiting(now);
     });
 }
 
-void BackendGate::handOver(std::uint64_t ticket, TimePoint now)
+void BackendGate::sendToServer(std::uint64_t ticket, TimePoint now)
 {
     auto &call = m_calls.at(ticket);
     const auto left = millisBetween(now, call.deadline);
     call.isRunning = true;
-    call.handedOver = now;
-    if (left < internal::kLeastHandedOver) {
+    call.handedOverAt = now;
+    if (left < internal::kMinServerTime) {
         finish(ticket, proxy::notRunReply(call.frame.id, proxy::Reason::DeadlinePassed),
                proxy::HandoverEnd::NotSent, now);
         return;
@@ -182,16 +183,17 @@
         return facts.requestId.empty() ? !facts.isSigned : facts.requestId == id;
     };
     exchange.done = [this, ticket](http::ExchangeEnd end, http::Answer answer) {
-        onEnded(ticket, end, std::move(answer));
+        onExchangeEnd(ticket, end, std::move(answer));
     };
-    const auto maxIdle = call.frame.isIdempotent ? Millis::max() : internal::kTrustedIdle;
+    const auto maxIdle
+            = call.frame.isIdempotent ? Millis::max() : internal::kMaxIdleForNonIdempotent;
     auto connection = m_pool.send(std::move(exchange), maxIdle, now);
     if (const auto it = m_calls.find(ticket); it != m_calls.end()) {
         it->second.connection = std::move(connection);
     }
 }
 
-void BackendGate::onEnded(std::uint64_t ticket, http::ExchangeEnd end, http::Answer answer)
+void BackendGate::onExchangeEnd(std::uint64_t ticket, http::ExchangeEnd end, http::Answer answer)
 {
     const auto it = m_calls.find(ticket);
     if (it == m_calls.end()) {
@@ -228,8 +230,8 @@
     case http::ExchangeEnd::NotSent:
         reply.kind = proxy::ReplyKind::NotRun;
         reply.reason = proxy::Reason::Unreachable;
-        doubtServer("not-reached");
-        tellCrash(now);
+        assumeCold("not-reached");
+        reportCrash(now);
         break;
     case http::ExchangeEnd::Malformed:
         reply.kind = proxy::ReplyKind::Failed;
@@ -241,13 +243,13 @@
         reply.reason = proxy::Reason::Lost;
         m_crashes.onLost(proxy::requestDigest(it->second.frame.account, it->second.frame.request),
                          now);
-        if (m_pool.idle() == 0 && m_gate.running() <= 1) {
-            doubtServer("all-connections-lost");
+        if (m_pool.idle() == 0 && m_admission.running() <= 1) {
+            assumeCold("all-connections-lost");
         }
         break;
     }
     finish(ticket, std::move(reply), handover, now);
-    pump(now);
+    dispatchWaiting(now);
 }
 
 void BackendGate::refuse(std::uint64_t ticket, proxy::Reason reason, TimePoint now)
@@ -269,13 +271,13 @@
     }
     auto call = std::move(it->second);
     m_calls.erase(it);
-    m_tickets.erase({call.origin, call.frame.id});
+    m_ticketsByCallId.erase({call.origin, call.frame.id});
     if (call.isRunning) {
-        m_gate.finished(end, std::chrono::duration_cast<Micros>(now - call.handedOver), now);
+        m_admission.finished(end, std::chrono::duration_cast<Micros>(now - call.handedOverAt), now);
     }
-    reply.load = m_gate.load(now);
-    logGateEnd(call.frame, reply, m_server.id, millisBetween(call.arrived, now),
-               call.isRunning ? millisBetween(call.handedOver, now) : Millis{0});
+    reply.load = m_admission.load(now);
+    logGateEnd(call.frame, reply, m_server.id, millisBetween(call.arrivedAt, now),
+               call.isRunning ? millisBetween(call.handedOverAt, now) : Millis{0});
     m_metrics
             .counter("gate_calls_total{outcome=\"" + std::string{proxy::reasonName(reply.reason)}
                      + "\"}")
@@ -285,32 +287,32 @@
 
 void BackendGate::cancel(const std::string &origin, std::uint64_t id, TimePoint now)
 {
-    const auto place = m_tickets.find({origin, id});
-    if (place == m_tickets.end()) {
+    const auto entry = m_ticketsByCallId.find({origin, id});
+    if (entry == m_ticketsByCallId.end()) {
         return;
     }
-    const auto ticket = place->second;
+    const auto ticket = entry->second;
     const auto it = m_calls.find(ticket);
     auto call = std::move(it->second);
     m_calls.erase(it);
-    m_tickets.erase(place);
+    m_ticketsByCallId.erase(entry);
     if (!call.isRunning) {
-        m_gate.cancel(ticket);
+        m_admission.cancel(ticket);
     } else {
-        m_gate.finished(proxy::HandoverEnd::Cancelled,
-                        std::chrono::duration_cast<Micros>(now - call.handedOver), now);
+        m_admission.finished(proxy::HandoverEnd::Cancelled,
+                             std::chrono::duration_cast<Micros>(now - call.handedOverAt), now);
         if (call.connection) {
             call.connection->cancel();
         }
     }
-    pump(now);
+    dispatchWaiting(now);
 }
 
 void BackendGate::cancelAll(const std::string &origin, TimePoint now)
 {
     std::vector<std::uint64_t> ids;
-    for (auto it = m_tickets.lower_bound({origin, 0});
-         it != m_tickets.end() && it->first.first == origin; ++it) {
+    for (auto it = m_ticketsByCallId.lower_bound({origin, 0});
+         it != m_ticketsByCallId.end() && it->first.first == origin; ++it) {
         ids.push_back(it->first.second);
     }
     for (const auto id : ids) {
@@ -318,7 +320,7 @@
     }
 }
 
-std::optional<int> BackendGate::runningRank() const
+std::optional<int> BackendGate::medianRunningRank() const
 {
     std::vector<int> ranks;
     for (const auto &[ticket, call] : m_calls) {
@@ -334,35 +336,36 @@
     return *middle;
 }
 
-void BackendGate::doubtServer(const char *why)
+void BackendGate::assumeCold(const char *cause)
 {
-    const auto cold
-            = m_service.coldStart.count() > 0 ? m_service.coldStart : internal::kUnknownCold;
-    m_gate.cold().markCold(bootNow() + cold);
-    if (!m_isDoubted) {
-        logEvent(LogLevel::Info, "gate", "server-doubted", {{"server", m_server.id}, {"why", why}});
+    const auto cold = m_service.coldStart.count() > 0 ? m_service.coldStart
+                                                      : internal::kDefaultColdDuration;
+    m_admission.cold().markCold(bootNow() + cold);
+    if (!m_needsProbe) {
+        logEvent(LogLevel::Info, "gate", "server-doubted",
+                 {{"server", m_server.id}, {"why", cause}});
     }
-    m_isDoubted = true;
+    m_needsProbe = true;
 }
 
-void BackendGate::tellCrash(TimePoint now)
+void BackendGate::reportCrash(TimePoint now)
 {
     const auto suspects = m_crashes.onServerDown(m_server.id, now);
-    if (!suspects.empty() && m_crashed) {
+    if (!suspects.empty() && m_crashHandler) {
         logEvent(LogLevel::Warn, "gate", "server-down",
                  {{"server", m_server.id}, {"suspects", std::to_string(suspects.size())}});
-        m_crashed(suspects);
+        m_crashHandler(suspects);
     }
 }
 
-void BackendGate::probeIfDoubted(TimePoint now)
+void BackendGate::probeIfNeeded(TimePoint now)
 {
-    if (!m_isDoubted || m_isProbing || m_server.id.empty() || m_service.healthPath.empty()
-        || millisBetween(m_probedAt, now) < internal::kProbePause) {
+    if (!m_needsProbe || m_isProbing || m_server.id.empty() || m_service.healthPath.empty()
+        || millisBetween(m_lastProbeAt, now) < internal::kProbeInterval) {
         return;
     }
     m_isProbing = true;
-    m_probedAt = now;
+    m_lastProbeAt = now;
     http::Exchange exchange;
     exchange.wire = http::serialize(m_dialect.healthProbe(m_service));
     exchange.done = [this](http::ExchangeEnd end, const http::Answer &answer) {
@@ -374,17 +377,17 @@
         if (answer.status != 200 || facts.serverId != m_server.id) {
             return;
         }
-        const auto then = bootNow();
-        m_isDoubted = false;
+        const auto answeredAt = bootNow();
+        m_needsProbe = false;
         const auto cold = facts.coldFor.value_or(Millis{0});
         if (cold.count() > 0) {
-            m_gate.cold().markCold(then + cold);
+            m_admission.cold().markCold(answeredAt + cold);
         } else {
-            m_gate.cold().markWarm(then);
+            m_admission.cold().markWarm(answeredAt);
         }
         logEvent(LogLevel::Info, "gate", "server-probed",
                  {{"server", m_server.id}, {"cold_ms", std::to_string(cold.count())}});
-        pump(then);
+        dispatchWaiting(answeredAt);
     };
     m_pool.send(std::move(exchange), Millis::max(), now);
 }
@@ -392,8 +395,8 @@
 void BackendGate::sweep(TimePoint now)
 {
     m_pool.sweep(now);
-    if (m_gate.waiting() > 0) {
-        probeIfDoubted(now);
+    if (m_admission.waiting() > 0) {
+        probeIfNeeded(now);
     }
 }
 
--- a/src/celeryramp/engine/backend_gate.h
+++ b/src/celeryramp/engine/backend_gate.h
@@ -22,7 +22,10 @@
 
 namespace celeryramp::engine {
 
-/*! @brief Carries out the decisions of the gate in front of the own backend server. */
+/*!
+ * @brief Forwards admitted calls to the backend server beside this node and replies to their
+ * senders. `proxy::ServerGate` decides which calls are admitted and in which order.
+ */
 class BackendGate
 {
 public:
@@ -32,36 +35,42 @@
                 const proxy::Dialect &dialect, proxy::CrashRegistry &crashes,
                 MetricsRegistry &metrics);
 
-    /*! @brief A call came. @param origin Names the sending node. @param reply Called once unless
-     * the call is cancelled. */
-    void offer(const std::string &origin, proxy::CallFrame call, Reply reply, TimePoint now);
+    /*!
+     * @brief Submits a call for admission.
+     * @param origin Identifies the sending node.
+     * @param reply Called exactly once, unless the call is cancelled.
+     */
+    void submit(const std::string &origin, proxy::CallFrame call, Reply reply, TimePoint now);
 
-    /*! @brief The caller of a call left, or its node is gone. */
+    /*! @brief Cancels a call because its caller disconnected or the sending node is lost. No reply
+     * is sent. */
     void cancel(const std::string &origin, std::uint64_t id, TimePoint now);
 
-    /*! @brief All calls of a node whose link is lost. */
+    /*! @brief Cancels all calls of a node whose link is lost. */
     void cancelAll(const std::string &origin, TimePoint now);
 
-    /*! @brief What is published changed. */
+    /*! @brief Applies a new view of the published state. */
     void onDirectory(const directory::DirectoryPtr &view, TimePoint now);
 
-    /*! Gets what was under way when the own server went down. */
-    using Crashed = std::function<void(const std::vector<proxy::SuspectFrame> &)>;
-    void setCrashedHandler(Crashed crashed) { m_crashed = std::move(crashed); }
+    /*! Receives the requests that were running when the backend server went down. */
+    using CrashHandler = std::function<void(const std::vector<proxy::SuspectFrame> &)>;
+    void setCrashHandler(CrashHandler handler) { m_crashHandler = std::move(handler); }
 
-    /*! @brief Takes no new calls: the node ends before they could. Running ones go on. */
-    void leave(TimePoint now);
+    /*! @brief Refuses queued and new calls, since the node stops before they could end. Running
+     * calls continue. */
+    void stopAdmitting(TimePoint now);
 
-    /*! @brief Work that waits for time to pass. */
+    /*! @brief Performs periodic work: closes idle connections and, while calls wait, probes a
+     * server whose state is unknown. */
     void sweep(TimePoint now);
 
     [[nodiscard]] bool isIdle() const noexcept { return m_calls.empty(); }
     [[nodiscard]] const std::string &serverId() const noexcept { return m_server.id; }
-    [[nodiscard]] proxy::GateLoad load(TimePoint now) { return m_gate.load(now); }
+    [[nodiscard]] proxy::GateLoad load(TimePoint now) { return m_admission.load(now); }
 
-    /*! @return Rank of the work that the server does now, for calls that it sends itself: the
-     * median of what runs, or nothing when nothing is known to run. */
-    [[nodiscard]] std::optional<int> runningRank() const;
+    /*! @return Median rank of the running calls, or nothing if no call is running. Calls that the
+     * server itself sends get this rank. */
+    [[nodiscard]] std::optional<int> medianRunningRank() const;
 
 private:
     struct Call
@@ -69,46 +78,50 @@
         std::string origin;
         proxy::CallFrame frame;
         Reply reply;
-        TimePoint arrived;
+        TimePoint arrivedAt;
         TimePoint deadline;
-        TimePoint handedOver;
+        TimePoint handedOverAt;
         http::ClientConnectionPtr connection;
         bool isRunning = false;
     };
 
-    void pump(TimePoint now);
-    void handOver(std::uint64_t ticket, TimePoint now);
-    void onEnded(std::uint64_t ticket, http::ExchangeEnd end, http::Answer answer);
+    void dispatchWaiting(TimePoint now);
+    void sendToServer(std::uint64_t ticket, TimePoint now);
+    void onExchangeEnd(std::uint64_t ticket, http::ExchangeEnd end, http::Answer answer);
     void refuse(std::uint64_t ticket, proxy::Reason reason, TimePoint now);
     void finish(std::uint64_t ticket, proxy::ReplyFrame reply, proxy::HandoverEnd end,
                 TimePoint now);
-    void armTimer();
-    void doubtServer(const char *why);
-    void tellCrash(TimePoint now);
-    void probeIfDoubted(TimePoint now);
+    void armExpiryTimer();
+    /*! @brief Treats the server as cold until a health probe reports its state. */
+    void assumeCold(const char *cause);
+    /*! @brief Passes the requests that may have crashed the server to the crash handler. */
+    void reportCrash(TimePoint now);
+    void probeIfNeeded(TimePoint now);
     [[nodiscard]] proxy::Reason closedReason() const;
     void updateClosed(TimePoint now);
 
-    TimePoint m_startedAt; /*!< A predecessor of this process ended before. */
-    boost::asio::steady_timer m_timer;
+    TimePoint m_startedAt; /*!< An earlier process on this host may have run until then. */
+    boost::asio::steady_timer m_expiryTimer;
     const EngineSettings &m_settings;
     const proxy::Dialect &m_dialect;
     proxy::CrashRegistry &m_crashes;
     MetricsRegistry &m_metrics;
-    Crashed m_crashed;
+    CrashHandler m_crashHandler;
     http::ClientPool m_pool;
-    proxy::ServerGate m_gate;
+    proxy::ServerGate m_admission;
     directory::DirectoryPtr m_view;
-    directory::BackendServer m_server; /*!< The own server; without id when none is known. */
+    directory::BackendServer
+            m_server; /*!< The server beside this node; the id is empty if it is unknown. */
     directory::Service m_service;
     std::map<std::uint64_t, Call> m_calls; /*!< By ticket. */
-    std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> m_tickets;
+    std::map<std::pair<std::string, std::uint64_t>, std::uint64_t>
+            m_ticketsByCallId; /*!< By origin and call id. */
     std::uint64_t m_nextTicket = 1;
-    TimePoint m_probedAt;
-    bool m_isDoubted = true; /*!< Whether the server is warm is not known. */
+    TimePoint m_lastProbeAt;
+    bool m_needsProbe = true; /*!< It is unknown whether the server is cold or warm. */
     bool m_isProbing = false;
-    bool m_isLeaving = false;
-    bool m_isTimerArmed = false;
+    bool m_isShuttingDown = false;
+    bool m_isExpiryTimerArmed = false;
 };
 
 } // namespace celeryramp::engine
--- a/src/celeryramp/engine/call_log.h
+++ b/src/celeryramp/engine/call_log.h
@@ -7,13 +7,17 @@
 
 namespace celeryramp::engine {
 
-/*! One of this many successful requests is logged, the same ones by all nodes. */
+/*! One in this many successful requests is logged. All nodes sample the same requests. */
 inline constexpr std::uint64_t kSuccessSample = 32;
 
-/*! @return True when a successful request is logged. */
+/*! @return True if the request is logged although it succeeds. */
 [[nodiscard]] bool isSampled(const std::string &requestId) noexcept;
 
-/*! @brief The gate's end of a call. @param total Time at the gate. @param atServer Part of it. */
+/*!
+ * @brief Logs the end of a call at the gate. Successful calls are sampled.
+ * @param total Time from arrival at the gate until the reply.
+ * @param atServer Part of `total` after the call was sent to the server; 0 if it was not.
+ */
 void logGateEnd(const proxy::CallFrame &call, const proxy::ReplyFrame &reply,
                 const std::string &serverId, Millis total, Millis atServer);
 
--- a/src/celeryramp/engine/engine.cpp
+++ b/src/celeryramp/engine/engine.cpp
@@ -10,16 +10,16 @@
 
 namespace internal {
 
-/*! Callers go on sending for up to two questions about readiness, a second apart. */
-constexpr Millis kListenWhileLeaving{2600};
-/*! Margin before the end of the grace by which the process is gone. */
-constexpr Millis kGraceMargin{600};
-/*! Entries that lapsed while the source was away are back this long after its return. */
-constexpr Millis kSourceSettles{4000};
-/*! Age of the own knowledge from which the source counts as having been away. */
-constexpr Millis kAwayAge{2500};
+/*! Callers poll readiness once a second and may keep sending until they have polled twice. */
+constexpr Millis kListenDuringShutdown{2600};
+/*! The process exits this long before the grace period ends. */
+constexpr Millis kShutdownMargin{600};
+/*! Time after an outage of the source within which servers renew entries that expired during it. */
+constexpr Millis kSourceSettleTime{4000};
+/*! The source counts as having been unavailable when the replica is older than this. */
+constexpr Millis kSourceAwayAge{2500};
 
-[[nodiscard]] std::uint64_t seedOf(const std::string &name)
+[[nodiscard]] std::uint64_t randomSeed(const std::string &name)
 {
     return stableHash({name, randomHex(8)});
 }
@@ -30,24 +30,26 @@
     : m_context{context}, m_settings{std::move(settings)}, m_ports{std::move(ports)},
       m_replica{m_ports.decoder, m_settings.lapseGrace}, m_peers{context, m_settings.links, *this},
       m_gate{context, m_settings, m_ports.dialect, m_crashes, m_metrics},
-      m_talk{m_settings, m_peers, m_replica, m_limiter, internal::seedOf(m_settings.name)},
-      m_desk{context,
-             CallSurroundings{m_settings, m_ports.dialect, m_replica, m_peers, m_gate, m_talk,
-                              m_limiter, m_crashes, m_metrics},
-             internal::seedOf(m_settings.name)},
-      m_callers{context,
-                [this](boost::asio::ip::tcp::socket socket) {
-                    m_desk.accept(std::move(socket), bootNow());
-                }},
-      m_readiness{context, [this](std::string_view path) { return respondReadiness(path); }},
-      m_metricsPort{context, [this](std::string_view path) { return respondMetrics(path); }},
-      m_tick{context}
+      m_coordinator{m_settings, m_peers, m_replica, m_limiter,
+                    internal::randomSeed(m_settings.name)},
+      m_dispatcher{context,
+                   DispatcherDependencies{m_settings, m_ports.dialect, m_replica, m_peers, m_gate,
+                                          m_coordinator, m_limiter, m_crashes, m_metrics},
+                   internal::randomSeed(m_settings.name)},
+      m_callerListener{context,
+                       [this](boost::asio::ip::tcp::socket socket) {
+                           m_dispatcher.accept(std::move(socket), bootNow());
+                       }},
+      m_readinessEndpoint{context,
+                          [this](std::string_view path) { return respondReadiness(path); }},
+      m_metricsEndpoint{context, [this](std::string_view path) { return respondMetrics(path); }},
+      m_tickTimer{context}
 {
-    m_gate.setCrashedHandler([this](const std::vector<proxy::SuspectFrame> &suspects) {
+    m_gate.setCrashHandler([this](const std::vector<proxy::SuspectFrame> &suspects) {
         const auto now = bootNow();
         for (const auto &suspect : suspects) {
             m_crashes.onSuspect(suspect, now);
-            m_talk.tellAll(suspect, now);
+            m_coordinator.broadcast(suspect, now);
         }
     });
 }
@@ -59,14 +61,14 @@
     if (const auto opened = m_peers.listen(); !opened) {
         return EngineError{opened.error().place, opened.error().reason};
     }
-    if (const auto opened = m_callers.open(m_settings.callers); !opened) {
+    if (const auto opened = m_callerListener.open(m_settings.callers); !opened) {
         return EngineError{opened.error().place, opened.error().reason};
     }
-    if (const auto opened = m_readiness.open(m_settings.readiness); !opened) {
+    if (const auto opened = m_readinessEndpoint.open(m_settings.readiness); !opened) {
         return EngineError{opened.error().place, opened.error().reason};
     }
     if (m_settings.metrics) {
-        if (const auto opened = m_metricsPort.open(*m_settings.metrics); !opened) {
+        if (const auto opened = m_metricsEndpoint.open(*m_settings.metrics); !opened) {
             return EngineError{opened.error().place, opened.error().reason};
         }
     }
@@ -87,22 +89,22 @@
 void Engine::tick()
 {
     const auto now = bootNow();
-    onBeliefs(m_replica.expire(now), "grace-over", now);
-    m_talk.tick(now);
-    if (m_talk.readPause(now)) {
+    onDirectoryChanged(m_replica.expire(now), "grace-over", now);
+    m_coordinator.tick(now);
+    if (m_coordinator.readPause(now)) {
         m_ports.source.resume();
     }
     m_peers.sweep(now);
     m_gate.sweep(now);
-    m_desk.sweep(now);
+    m_dispatcher.sweep(now);
     m_crashes.sweep(now);
-    m_readiness.sweep(now);
-    m_metricsPort.sweep(now);
-    if (m_isLeaving) {
-        finishLeaving(now);
+    m_readinessEndpoint.sweep(now);
+    m_metricsEndpoint.sweep(now);
+    if (m_isShuttingDown) {
+        continueShutdown(now);
     }
-    m_tick.expires_after(FleetTalk::kTalkInterval);
-    m_tick.async_wait([this](const boost::system::error_code &ec) {
+    m_tickTimer.expires_after(PeerCoordinator::kTickInterval);
+    m_tickTimer.async_wait([this](const boost::system::error_code &ec) {
         if (!ec) {
             tick();
         }
@@ -111,21 +113,21 @@
 
 void Engine::leave(TimePoint now)
 {
-    if (m_isLeaving) {
+    if (m_isShuttingDown) {
         return;
     }
-    m_isLeaving = true;
-    m_leavingSince = now;
+    m_isShuttingDown = true;
+    m_shutdownStartedAt = now;
     logEvent(LogLevel::Info, "engine", "leaving",
-             {{"connections", std::to_string(m_desk.connections())}});
-    m_desk.leave();
+             {{"connections", std::to_string(m_dispatcher.connectionCount())}});
+    m_dispatcher.beginShutdown();
     std::set<std::string> zones;
     for (const auto &[id, server] : m_replica.view()->servers) {
         zones.insert(server.zone);
     }
     const auto frame = proxy::encodeFrame(proxy::LeavingFrame{});
     for (const auto &zone : zones) {
-        for (const auto &node : m_talk.nodesOf(zone)) {
+        for (const auto &node : m_coordinator.nodesInZone(zone)) {
             if (m_peers.isOpen(node) && !m_peers.send(node, frame, now)) {
                 logEvent(LogLevel::Warn, "engine", "leaving-not-told", {{"peer", node.text()}});
             }
@@ -133,26 +135,26 @@
     }
 }
 
-void Engine::finishLeaving(TimePoint now)
+void Engine::continueShutdown(TimePoint now)
 {
-    const auto spent = millisBetween(m_leavingSince, now);
-    if (spent >= internal::kListenWhileLeaving && !m_hasStoppedListening) {
+    const auto elapsed = millisBetween(m_shutdownStartedAt, now);
+    if (elapsed >= internal::kListenDuringShutdown && !m_hasStoppedListening) {
         m_hasStoppedListening = true;
-        m_callers.close();
-        m_gate.leave(now);
+        m_callerListener.close();
+        m_gate.stopAdmitting(now);
     }
     if (m_hasStoppedListening) {
-        m_desk.closeIdle();
+        m_dispatcher.closeIdleConnections();
     }
-    const bool isDone = m_hasStoppedListening && m_desk.isIdle() && m_gate.isIdle()
-            && m_desk.connections() == 0;
-    if (isDone || spent >= m_settings.grace - internal::kGraceMargin) {
+    const bool isDone = m_hasStoppedListening && m_dispatcher.isIdle() && m_gate.isIdle()
+            && m_dispatcher.connectionCount() == 0;
+    if (isDone || elapsed >= m_settings.grace - internal::kShutdownMargin) {
         logEvent(LogLevel::Info, "engine", "stopped",
-                 {{"spent_ms", std::to_string(spent.count())}, {"cut", isDone ? "0" : "1"}});
+                 {{"spent_ms", std::to_string(elapsed.count())}, {"cut", isDone ? "0" : "1"}});
         m_ports.source.stop();
         m_peers.close();
-        m_readiness.close();
-        m_metricsPort.close();
+        m_readinessEndpoint.close();
+        m_metricsEndpoint.close();
         m_context.stop();
     }
 }
@@ -160,7 +162,7 @@
 http::Answer Engine::respondReadiness(std::string_view path) const
 {
     http::Answer answer;
-    const bool isReady = !m_isLeaving && m_replica.view()->routing != nullptr;
+    const bool isReady = !m_isShuttingDown && m_replica.view()->routing != nullptr;
     answer.status = path != m_ports.readinessPath ? 404 : isReady ? 200 : 503;
     return answer;
 }
@@ -181,7 +183,7 @@
         gauge("directory_age_ms", m_replica.age(bootNow()).count());
         gauge("directory_servers", view.servers.size());
         gauge("directory_evacuated_zones", view.evacuatedZones.size());
-        gauge("caller_connections", m_desk.connections());
+        gauge("caller_connections", m_dispatcher.connectionCount());
         gauge("link_frame_bytes_total", m_peers.frameBytes());
         const auto usage = processUsage();
         gauge("process_cpu_seconds_total", usage.cpuSeconds);
@@ -202,7 +204,7 @@
     const auto now = bootNow();
     auto &frame = decoded.value();
     if (auto *call = std::get_if<proxy::CallFrame>(&frame)) {
-        m_gate.offer(
+        m_gate.submit(
                 peer.text(), std::move(*call),
                 [this, peer](const proxy::ReplyFrame &reply) {
                     if (!m_peers.send(peer, proxy::encodeFrame(reply), bootNow())) {
@@ -212,27 +214,27 @@
                 },
                 now);
     } else if (const auto *reply = std::get_if<proxy::ReplyFrame>(&frame)) {
-        m_desk.onReply(peer, *reply, now);
+        m_dispatcher.onReply(peer, *reply, now);
     } else if (const auto *cancel = std::get_if<proxy::CancelFrame>(&frame)) {
         m_gate.cancel(peer.text(), cancel->id, now);
     } else if (std::holds_alternative<proxy::LeavingFrame>(frame)) {
         logEvent(LogLevel::Info, "engine", "peer-leaving", {{"peer", peer.text()}});
-        m_desk.onLeaving(peer, now);
+        m_dispatcher.onPeerLeaving(peer, now);
     } else if (const auto *usage = std::get_if<proxy::UsageFrame>(&frame)) {
-        m_talk.onUsage(peer, *usage, now);
+        m_coordinator.onUsage(peer, *usage, now);
     } else if (const auto *levels = std::get_if<proxy::LevelsFrame>(&frame)) {
-        m_talk.onLevels(peer, *levels, now);
+        m_coordinator.onLevels(peer, *levels, now);
     } else if (const auto *request = std::get_if<proxy::SyncRequestFrame>(&frame)) {
-        m_talk.onSyncRequest(peer, *request, now);
+        m_coordinator.onSyncRequest(peer, *request, now);
     } else if (const auto *sync = std::get_if<proxy::SyncReplyFrame>(&frame)) {
-        onSync(*sync, now);
+        onSyncReply(*sync, now);
     } else if (const auto *news = std::get_if<proxy::NewsFrame>(&frame)) {
-        onNews(peer, *news, now);
+        onNewsFrame(peer, *news, now);
     } else if (const auto *reader = std::get_if<proxy::ReaderFrame>(&frame)) {
         logEvent(LogLevel::Info, "engine", reader->canRead ? "reader-able" : "reader-unable",
                  {{"peer", peer.text()}});
-        m_talk.onReader(peer, reader->canRead, now);
-        if (m_talk.readPause(now)) {
+        m_coordinator.onReaderStatus(peer, reader->canRead, now);
+        if (m_coordinator.readPause(now)) {
             m_ports.source.resume();
         }
     } else if (const auto *suspect = std::get_if<proxy::SuspectFrame>(&frame)) {
@@ -253,24 +255,24 @@
     logEvent(LogLevel::Info, "engine", "peer-lost",
              {{"peer", peer.text()}, {"was_open", wasOpen ? "1" : "0"}});
     m_gate.cancelAll(peer.text(), now);
-    m_desk.onLinkLost(peer, wasOpen, now);
+    m_dispatcher.onLinkLost(peer, wasOpen, now);
 }
 
 bool Engine::isAwaiting(const Address &peer) const
 {
-    return m_desk.isAwaiting(peer);
+    return m_dispatcher.isAwaiting(peer);
 }
 
-bool Engine::wasSourceAway(TimePoint now) const
+bool Engine::wasSourceUnavailable(TimePoint now) const
 {
-    return m_replica.age(now) > internal::kAwayAge
+    return m_replica.age(now) > internal::kSourceAwayAge
             || (m_hasSourceFailed
-                && millisBetween(m_sourceFailedAt, now) < internal::kSourceSettles);
+                && millisBetween(m_sourceFailedAt, now) < internal::kSourceSettleTime);
 }
 
 void Engine::onSourceAnswered(TimePoint now)
 {
-    m_talk.setCanRead(true, now);
+    m_coordinator.setCanRead(true, now);
     if (std::exchange(m_isSourceDown, false)) {
         logEvent(LogLevel::Info, "engine", "source-regained",
                  {{"revision", std::to_string(m_replica.revision())},
@@ -282,16 +284,17 @@
                     TimePoint askedAt)
 {
     const auto now = bootNow();
-    const bool wasAway = m_replica.isComplete() && wasSourceAway(now);
+    const bool wasUnavailable = m_replica.isComplete() && wasSourceUnavailable(now);
     onSourceAnswered(now);
-    onBeliefs(m_replica.applyList(items, revision, askedAt, wasAway, now), "list", now);
+    onDirectoryChanged(m_replica.applyList(items, revision, askedAt, wasUnavailable, now), "list",
+                       now);
 }
 
 void Engine::onChanges(const std::vector<directory::ItemChange> &changes, std::int64_t revision,
                        TimePoint askedAt)
 {
     const auto now = bootNow();
-    const bool wasAway = wasSourceAway(now);
+    const bool wasUnavailable = wasSourceUnavailable(now);
     proxy::NewsFrame news{m_replica.revision(), revision, {}, {}};
     for (const auto &change : changes) {
         auto [delta, base] = m_replica.asDelta(change);
@@ -300,16 +303,17 @@
     }
     onSourceAnswered(now);
     if (!changes.empty()) {
-        m_talk.passOn(news, now);
+        m_coordinator.forwardChanges(news, now);
     }
-    onBeliefs(m_replica.applyChanges(changes, revision, askedAt, wasAway, now), "watch", now);
+    onDirectoryChanged(m_replica.applyChanges(changes, revision, askedAt, wasUnavailable, now),
+                       "watch", now);
 }
 
 void Engine::onSourceFailed(const std::string &reason)
 {
     m_hasSourceFailed = true;
     m_sourceFailedAt = bootNow();
-    m_talk.setCanRead(false, m_sourceFailedAt);
+    m_coordinator.setCanRead(false, m_sourceFailedAt);
     if (!std::exchange(m_isSourceDown, true)) {
         logEvent(LogLevel::Warn, "engine", "source-lost",
                  {{"reason", reason},
@@ -325,10 +329,10 @@
 
 std::optional<Millis> Engine::readPause() const
 {
-    return m_talk.readPause(bootNow());
+    return m_coordinator.readPause(bootNow());
 }
 
-void Engine::onNews(const Address &peer, const proxy::NewsFrame &news, TimePoint now)
+void Engine::onNewsFrame(const Address &peer, const proxy::NewsFrame &news, TimePoint now)
 {
     if (!m_replica.isComplete() || news.revision <= m_replica.revision()) {
         return;
@@ -336,13 +340,13 @@
     if (news.changes.empty()) {
         logEvent(LogLevel::Info, "engine", "large-news",
                  {{"peer", peer.text()}, {"revision", std::to_string(news.revision)}});
-        m_talk.readUpTo(news.revision);
+        m_coordinator.requireRead(news.revision);
         m_ports.source.resume();
         return;
     }
     std::vector<directory::ItemChange> changes;
     for (std::size_t i = 0; i < news.changes.size() && i < news.bases.size(); ++i) {
-        // A change that is held already needs no base any more.
+        // For a change that the replica already holds, the base value is no longer needed.
         auto change = m_replica.fromDelta(news.changes[i], news.bases[i]);
         if (!change) {
             break;
@@ -356,24 +360,26 @@
                   {"held", std::to_string(m_replica.revision())}});
         return;
     }
-    // News may have been held up on the way, so they do not tell how fresh the knowledge is.
-    onBeliefs(m_replica.applyChanges(changes, news.revision, TimePoint{}, wasSourceAway(now), now),
-              "reader", now);
+    // The frame may have been delayed on the link, so it does not show how fresh the replica is.
+    onDirectoryChanged(m_replica.applyChanges(changes, news.revision, TimePoint{},
+                                              wasSourceUnavailable(now), now),
+                       "reader", now);
 }
 
-void Engine::onSync(const proxy::SyncReplyFrame &reply, TimePoint now)
+void Engine::onSyncReply(const proxy::SyncReplyFrame &reply, TimePoint now)
 {
     const TimePoint askedAt{TimePoint::duration{reply.askedAt}};
     const auto asOf = askedAt - reply.age;
     if (asOf <= m_replica.freshAsOf() && m_replica.isComplete()) {
         return;
     }
-    onBeliefs(m_replica.applyList(reply.items, reply.revision, asOf, wasSourceAway(now), now),
-              "peer", now);
+    onDirectoryChanged(
+            m_replica.applyList(reply.items, reply.revision, asOf, wasSourceUnavailable(now), now),
+            "peer", now);
 }
 
-void Engine::onBeliefs(const std::vector<directory::BeliefChange> &beliefs, const char *source,
-                       TimePoint now)
+void Engine::onDirectoryChanged(const std::vector<directory::BeliefChange> &beliefs,
+                                const char *source, TimePoint now)
 {
     for (const auto &belief : beliefs) {
         logEvent(LogLevel::Info, "directory", belief.event,
--- a/src/celeryramp/engine/engine.h
+++ b/src/celeryramp/engine/engine.h
@@ -10,46 +10,50 @@
 #include "core/result.h"
 #include "directory/item_sink.h"
 #include "directory/replica.h"
-#include "engine/call_desk.h"
 #include "engine/engine_settings.h"
-#include "engine/fleet_talk.h"
-#include "engine/status_port.h"
+#include "engine/peer_coordinator.h"
+#include "engine/request_dispatcher.h"
+#include "engine/status_endpoint.h"
 #include "http/listener.h"
 #include "links/peer_links.h"
 #include "observe/metrics_registry.h"
 
 namespace celeryramp::engine {
 
-/*! @brief Why a node could not start. */
+/*! @brief Error of a node that could not start. */
 struct EngineError
 {
     std::string place;
     std::string reason;
 };
 
-/*! @brief What a deployment brings to the engine; all outlive it. */
+/*! @brief Adapters and paths that a deployment supplies; the referenced objects outlive the engine.
+ */
 struct EnginePorts
 {
     const proxy::Dialect &dialect;
     const directory::ItemDecoder &decoder;
     directory::ItemSource &source;
-    std::string readinessPath; /*!< Asked of the readiness address. */
-    std::string metricsPath; /*!< Asked of the metrics address. */
+    std::string readinessPath; /*!< Served at the readiness address. */
+    std::string metricsPath; /*!< Served at the metrics address. */
 };
 
-/*! @brief The duty that owns all sockets of a node: callers, peers, own server, published state. */
+/*! @brief Runs one node: owns the links to callers, peers and the backend server, and keeps the
+ * replica of the published state. */
 class Engine final : public links::LinkEvents, public directory::ItemSink
 {
 public:
     Engine(boost::asio::io_context &context, EngineSettings settings, EnginePorts ports);
     ~Engine() override;
 
-    /*! @brief Listens and begins to read what is published. */
+    /*! @brief Opens the listening sockets and starts reading the published state.
+     * @return Nothing, or the address that cannot be listened on and why. */
     [[nodiscard]] Result<void, EngineError> start();
 
     /*!
-     * @brief Takes no new work, serves what is under way, then stops the context.
-     * At the latest shortly before the grace of the settings ends.
+     * @brief Shuts the node down gracefully: stops admitting work, finishes running calls, then
+     * stops the context. Stops it shortly before the grace period of the settings ends at the
+     * latest.
      */
     void leave(TimePoint now);
 
@@ -68,13 +72,14 @@
 
 private:
     void tick();
-    void onNews(const Address &peer, const proxy::NewsFrame &news, TimePoint now);
-    void onSync(const proxy::SyncReplyFrame &reply, TimePoint now);
-    void onBeliefs(const std::vector<directory::BeliefChange> &beliefs, const char *source,
-                   TimePoint now);
+    void onNewsFrame(const Address &peer, const proxy::NewsFrame &news, TimePoint now);
+    void onSyncReply(const proxy::SyncReplyFrame &reply, TimePoint now);
+    /*! @brief Logs changes of the replica and passes a new view to the gate. */
+    void onDirectoryChanged(const std::vector<directory::BeliefChange> &beliefs, const char *source,
+                            TimePoint now);
     void onSourceAnswered(TimePoint now);
-    void finishLeaving(TimePoint now);
-    [[nodiscard]] bool wasSourceAway(TimePoint now) const;
+    void continueShutdown(TimePoint now);
+    [[nodiscard]] bool wasSourceUnavailable(TimePoint now) const;
     [[nodiscard]] http::Answer respondReadiness(std::string_view path) const;
     [[nodiscard]] http::Answer respondMetrics(std::string_view path) const;
 
@@ -87,18 +92,18 @@
     proxy::FleetLimiter m_limiter;
     proxy::CrashRegistry m_crashes;
     BackendGate m_gate;
-    FleetTalk m_talk;
-    CallDesk m_desk;
-    http::Listener m_callers;
-    StatusPort m_readiness;
-    StatusPort m_metricsPort;
-    boost::asio::steady_timer m_tick;
-    directory::DirectoryPtr m_gateView; /*!< The view that the gate was told of last. */
+    PeerCoordinator m_coordinator;
+    RequestDispatcher m_dispatcher;
+    http::Listener m_callerListener;
+    StatusEndpoint m_readinessEndpoint;
+    StatusEndpoint m_metricsEndpoint;
+    boost::asio::steady_timer m_tickTimer;
+    directory::DirectoryPtr m_gateView; /*!< View last passed to the gate. */
     TimePoint m_sourceFailedAt;
     bool m_hasSourceFailed = false;
     bool m_isSourceDown = false;
-    TimePoint m_leavingSince;
-    bool m_isLeaving = false;
+    TimePoint m_shutdownStartedAt;
+    bool m_isShuttingDown = false;
     bool m_hasStoppedListening = false;
 };
 
--- a/src/celeryramp/engine/engine_settings.h
+++ b/src/celeryramp/engine/engine_settings.h
@@ -8,22 +8,22 @@
 
 namespace celeryramp::engine {
 
-/*! @brief What one node is told about itself and the bounds it works within. */
+/*! @brief Identity, addresses and limits of one node. */
 struct EngineSettings
 {
-    std::string name; /*!< Of the node, for logs. */
+    std::string name; /*!< Name of the node, for logs. */
     std::string zone;
-    std::string service; /*!< Of the backend server beside the node. */
-    Address callers; /*!< Listens for callers. */
-    Address links; /*!< Listens for peers; peers have the same port. */
-    Address readiness; /*!< Answers whether the node takes work. */
-    Address backend; /*!< The backend server beside the node. */
+    std::string service; /*!< Service of the backend server beside the node. */
+    Address callers; /*!< Listening address for callers. */
+    Address links; /*!< Listening address for peers, which all use the same port. */
+    Address readiness; /*!< Listening address of the readiness check. */
+    Address backend; /*!< Address of the backend server beside the node. */
     std::optional<Address> metrics;
 
-    Millis keyFreshness{4500}; /*!< Oldest knowledge that API keys are judged by. */
-    Millis lapseGrace{1500}; /*!< Use of server entries that lapsed while the source was away. */
-    Millis grace{6000}; /*!< From the request to stop until the process is killed. */
-    double retryRatio = 0.2; /*!< Repeated executions per request, over all nodes. */
+    Millis keyFreshness{4500}; /*!< Maximum age of the replica for checking API keys. */
+    Millis lapseGrace{1500}; /*!< Use of server entries that expired while the source was down. */
+    Millis grace{6000}; /*!< Time from the stop request until the process is killed. */
+    double retryRatio = 0.2; /*!< Retries per request, over all nodes. */
 };
 
 } // namespace celeryramp::engine
--- a/src/celeryramp/engine/fwd.h
+++ b/src/celeryramp/engine/fwd.h
@@ -1,16 +1,16 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the engine module: the duty that owns all sockets of a node and carries
- *  requests between callers, gates and peers.
+ *  Forward declarations of the engine module, which owns all sockets of a node and carries requests
+ *  between callers, gates and peers.
  */
 
 namespace celeryramp::engine {
 
 class BackendGate;
-class CallDesk;
+class RequestDispatcher;
 class Engine;
 struct EngineSettings;
-class FleetTalk;
+class PeerCoordinator;
 
 } // namespace celeryramp::engine
--- /dev/null
+++ b/src/celeryramp/engine/peer_coordinator.cpp
@@ -0,0 +1,361 @@
+#include "engine/peer_coordinator.h"
+
+#include <algorithm>
+
+#include "directory/reader_rota.h"
+#include "observe/log.h"
+#include "proxy/frame_codec.h"
+
+namespace celeryramp::engine {
+
+namespace internal {
+
+/*! Minimum time between usage reports to other zones. It is below the tick interval, so a report
+ * goes out on each tick: an account with a sudden burst is admitted in full until its usage has
+ * reached the other zones and theirs has come back. */
+constexpr Millis kZoneReportInterval{200};
+/*! A node or zone counts as quiet when it has had no demand of accounts for this long. */
+constexpr Millis kQuietAfter{5000};
+/*! Time between reports of a quiet zone. Without them, the other zones would treat it as
+ *  partitioned. */
+constexpr Millis kQuietZoneReportInterval{2000};
+/*! Time between reports of a quiet node. The replies confirm its replica. Together with the pause
+ * of readers this keeps the replica younger than the age from which the node reads for itself. */
+constexpr Millis kQuietNodeReportInterval{500};
+/*! Size in bytes above which changes are only announced and each node reads them itself. A reader's
+ *  10 Mbit/s link sends this size to 20 nodes in a second; the platform's link is 100 times faster.
+ */
+constexpr std::size_t kMaxForwardedBytes = 64 * 1024;
+/*! Time for which a node counts after its server is no longer published. The server may be down or
+ * its entry may have expired while the node still serves callers. */
+constexpr Millis kNodeTtl{30'000};
+/*! Time between attempts to reach nodes that failed. */
+constexpr Millis kProbeInterval{1000};
+/*! Time for which a node that could not read the platform ranks behind the others as a reader. */
+constexpr Millis kReadFailureTtl{2500};
+/*! Age of the replica from which peers are asked for newer state; above the usual time between
+ *  reads. */
+constexpr Millis kStaleAfter{2700};
+/*! Maximum age of a peer's replica for it to confirm the replica of this node. */
+constexpr Millis kMaxConfirmingAge{3000};
+/*! Minimum time between two sync requests to peers. */
+constexpr Millis kSyncRequestInterval{500};
+
+} // namespace internal
+
+PeerCoordinator::PeerCoordinator(const EngineSettings &settings, links::PeerLinks &peers,
+                                 directory::Replica &replica, proxy::FleetLimiter &limiter,
+                                 std::uint64_t seed)
+    : m_settings{settings}, m_peers{peers}, m_replica{replica}, m_limiter{limiter},
+      m_ledger{settings.zone}, m_random{seed}
+{ }
+
+std::vector<Address> PeerCoordinator::nodesInZone(const std::string &zone) const
+{
+    std::set<std::string> hosts;
+    for (const auto &[id, server] : m_replica.view()->servers) {
+        if (server.zone == zone && server.address.host != m_settings.links.host) {
+            hosts.insert(server.address.host);
+        }
+    }
+    for (const auto &[host, known] : m_knownNodes) {
+        if (known.zone == zone) {
+            hosts.insert(host);
+        }
+    }
+    std::vector<Address> nodes;
+    nodes.reserve(hosts.size());
+    for (const auto &host : hosts) {
+        nodes.push_back({host, m_settings.links.port});
+    }
+    return nodes;
+}
+
+std::size_t PeerCoordinator::nodeCount() const
+{
+    std::set<std::string> hosts{m_settings.links.host};
+    for (const auto &[id, server] : m_replica.view()->servers) {
+        hosts.insert(server.address.host);
+    }
+    for (const auto &[host, known] : m_knownNodes) {
+        hosts.insert(host);
+    }
+    return hosts.size();
+}
+
+std::vector<std::string> PeerCoordinator::zones() const
+{
+    std::set<std::string> zones{m_settings.zone};
+    for (const auto &[id, server] : m_replica.view()->servers) {
+        zones.insert(server.zone);
+    }
+    for (const auto &[host, known] : m_knownNodes) {
+        zones.insert(known.zone);
+    }
+    return {zones.begin(), zones.end()};
+}
+
+Address PeerCoordinator::aggregatorOf(const std::string &zone, TimePoint now) const
+{
+    Address best = zone == m_settings.zone ? m_settings.links : Address{};
+    for (const auto &node : nodesInZone(zone)) {
+        if ((best.host.empty() || node.host < best.host) && isReliable(node, now)) {
+            best = node;
+        }
+    }
+    return best;
+}
+
+std::optional<Millis> PeerCoordinator::readPause(TimePoint now) const
+{
+    const auto readingOrder = [this, now](const std::string &host) {
+        return std::make_pair(hasReadFailed(host, now), host);
+    };
+    const auto own = readingOrder(m_settings.links.host);
+    directory::ReaderPosition position;
+    position.age = m_replica.age(now);
+    position.isBehind = !m_replica.isComplete() || m_replica.revision() < m_requiredRevision;
+    for (const auto &node : nodesInZone(m_settings.zone)) {
+        if (readingOrder(node.host) < own && isReliable(node, now)) {
+            ++position.place;
+        }
+    }
+    return directory::readPause(position);
+}
+
+bool PeerCoordinator::hasReadFailed(const std::string &host, TimePoint now) const
+{
+    const auto it = m_readFailedAt.find(host);
+    return it != m_readFailedAt.end() && millisBetween(it->second, now) < internal::kReadFailureTtl;
+}
+
+void PeerCoordinator::setCanRead(bool canRead, TimePoint now)
+{
+    const bool wasAble = !hasReadFailed(m_settings.links.host, now);
+    if (canRead == wasAble) {
+        return;
+    }
+    onReaderStatus(m_settings.links, canRead, now);
+    for (const auto &node : nodesInZone(m_settings.zone)) {
+        send(node, proxy::ReaderFrame{canRead}, now);
+    }
+}
+
+void PeerCoordinator::onReaderStatus(const Address &peer, bool canRead, TimePoint now)
+{
+    if (canRead) {
+        m_readFailedAt.erase(peer.host);
+    } else {
+        m_readFailedAt[peer.host] = now;
+    }
+}
+
+void PeerCoordinator::forwardChanges(const proxy::NewsFrame &news, TimePoint now)
+{
+    auto frame = proxy::encodeFrame(news);
+    if (frame.size() > internal::kMaxForwardedBytes) {
+        frame = proxy::encodeFrame(proxy::NewsFrame{news.after, news.revision, {}, {}});
+    }
+    for (const auto &node : nodesInZone(m_settings.zone)) {
+        // Failed nodes are tried by `probeFailedNodes` and catch up when they are back.
+        if (!m_peers.hasFailed(node) && !m_peers.send(node, frame, now)) {
+            logEvent(LogLevel::Debug, "fleet", "news-not-sent", {{"peer", node.text()}});
+        }
+    }
+}
+
+void PeerCoordinator::broadcast(const proxy::Frame &frame, TimePoint now)
+{
+    for (const auto &zone : zones()) {
+        for (const auto &node : nodesInZone(zone)) {
+            send(node, frame, now);
+        }
+    }
+}
+
+void PeerCoordinator::requestSync(const Address &peer, TimePoint now)
+{
+    if (millisBetween(m_lastSyncRequestAt, now) < internal::kSyncRequestInterval) {
+        return;
+    }
+    m_lastSyncRequestAt = now;
+    send(peer, proxy::SyncRequestFrame{m_replica.revision(), now.time_since_epoch().count()}, now);
+}
+
+bool PeerCoordinator::isReliable(const Address &peer, TimePoint now) const
+{
+    return m_peers.isReachable(peer, now) && !m_peers.hasFailed(peer);
+}
+
+void PeerCoordinator::probeFailedNodes(TimePoint now)
+{
+    if (millisBetween(m_lastProbeAt, now) < internal::kProbeInterval) {
+        return;
+    }
+    m_lastProbeAt = now;
+    for (const auto &zone : zones()) {
+        auto nodes = nodesInZone(zone);
+        nodes.erase(
+                std::remove_if(nodes.begin(), nodes.end(),
+                               [this](const Address &node) { return !m_peers.hasFailed(node); }),
+                nodes.end());
+        // One node per zone and round, since attempts would add up when a large zone is down.
+        if (!nodes.empty()) {
+            send(nodes[m_random.below(nodes.size())],
+                 proxy::ReaderFrame{!hasReadFailed(m_settings.links.host, now)}, now);
+        }
+    }
+}
+
+void PeerCoordinator::send(const Address &peer, const proxy::Frame &frame, TimePoint now)
+{
+    if (!m_peers.send(peer, proxy::encodeFrame(frame), now)) {
+        logEvent(LogLevel::Debug, "fleet", "frame-not-sent", {{"peer", peer.text()}});
+    }
+}
+
+void PeerCoordinator::updateKnownNodes(TimePoint now)
+{
+    for (const auto &[id, server] : m_replica.view()->servers) {
+        const auto &host = server.address.host;
+        if (server.isDraining) {
+            m_knownNodes.erase(host);
+        } else if (host != m_settings.links.host) {
+            m_knownNodes[host] = {server.zone, now};
+        }
+    }
+    for (auto it = m_knownNodes.begin(); it != m_knownNodes.end();) {
+        it = millisBetween(it->second.publishedAt, now) > internal::kNodeTtl
+                ? m_knownNodes.erase(it)
+                : std::next(it);
+    }
+}
+
+void PeerCoordinator::reportUsage(TimePoint now)
+{
+    const auto aggregator = aggregatorOf(m_settings.zone, now);
+    auto report = m_limiter.takeReport();
+    const bool isAggregator = aggregator == m_settings.links;
+    if (!report.accounts.empty()) {
+        m_lastDemandAt = now;
+    }
+    if (!isAggregator) {
+        // Even an empty report requests the levels and a confirmation of the replica.
+        const bool isQuiet = millisBetween(m_lastDemandAt, now) >= internal::kQuietAfter;
+        if (!isQuiet || millisBetween(m_lastReportAt, now) >= internal::kQuietNodeReportInterval) {
+            m_lastReportAt = now;
+            report.sentAt = now.time_since_epoch().count();
+            send(aggregator, report, now);
+        }
+        return;
+    }
+    m_ledger.addNodeReport(m_settings.links.host, report, now);
+    std::vector<std::string> nodes;
+    for (const auto &[host, known] : m_knownNodes) {
+        if (known.zone == m_settings.zone) {
+            nodes.push_back(host);
+        }
+    }
+    m_ledger.countNodes(nodes, m_knownNodes.size() + 1, now);
+    if (!report.accounts.empty()) {
+        m_lastZoneDemandAt = now;
+    }
+    if (m_replica.view()->routing) {
+        m_limiter.onLevels(m_ledger.levels(*m_replica.view()->routing, now), now);
+    }
+    const bool isQuiet = millisBetween(m_lastZoneDemandAt, now) > internal::kQuietAfter;
+    if (millisBetween(m_lastZoneReportAt, now)
+        < (isQuiet ? internal::kQuietZoneReportInterval : internal::kZoneReportInterval)) {
+        return;
+    }
+    m_lastZoneReportAt = now;
+    const auto zoneReport = m_ledger.takeZoneReport(isQuiet);
+    for (const auto &zone : zones()) {
+        if (zone == m_settings.zone) {
+            continue;
+        }
+        if (const auto other = aggregatorOf(zone, now); !other.host.empty()) {
+            send(other, zoneReport, now);
+        }
+    }
+}
+
+void PeerCoordinator::syncIfStale(TimePoint now)
+{
+    if (m_replica.age(now) < internal::kStaleAfter
+        || millisBetween(m_lastSyncRequestAt, now) < internal::kSyncRequestInterval) {
+        return;
+    }
+    auto nodes = nodesInZone(m_settings.zone);
+    // If this node is cut off, its zone probably is too, so half of the requests go to a random
+    // zone.
+    if (nodes.empty() || m_random.below(2) == 0) {
+        const auto all = zones();
+        const auto others = nodesInZone(all[m_random.below(all.size())]);
+        nodes = others.empty() ? nodes : others;
+    }
+    if (nodes.empty()) {
+        return;
+    }
+    requestSync(nodes[m_random.below(nodes.size())], now);
+}
+
+void PeerCoordinator::tick(TimePoint now)
+{
+    updateKnownNodes(now);
+    reportUsage(now);
+    probeFailedNodes(now);
+    syncIfStale(now);
+}
+
+void PeerCoordinator::onUsage(const Address &peer, const proxy::UsageFrame &frame, TimePoint now)
+{
+    if (!frame.zone.empty()) {
+        m_ledger.addZoneReport(frame, now);
+        return;
+    }
+    if (!frame.accounts.empty()) {
+        m_lastZoneDemandAt = now;
+    }
+    m_ledger.addNodeReport(peer.host, frame, now);
+    if (m_replica.view()->routing) {
+        auto levels = m_ledger.levels(*m_replica.view()->routing, now);
+        levels.askedAt = frame.sentAt;
+        levels.revision = m_replica.revision();
+        levels.age = m_replica.age(now);
+        send(peer, levels, now);
+    }
+}
+
+void PeerCoordinator::onLevels(const Address &peer, const proxy::LevelsFrame &frame, TimePoint now)
+{
+    m_limiter.onLevels(frame, now);
+    if (frame.revision > m_replica.revision()) {
+        requestSync(peer, now);
+    } else if (frame.revision == m_replica.revision() && frame.age < internal::kMaxConfirmingAge) {
+        // The peer's replica was at most `age` old when it answered, which was after the report was
+        // sent, so this replica was complete at the time of the report minus `age`.
+        m_replica.confirm(TimePoint{TimePoint::duration{frame.askedAt}} - frame.age);
+    }
+}
+
+void PeerCoordinator::onSyncRequest(const Address &peer, const proxy::SyncRequestFrame &frame,
+                                    TimePoint now)
+{
+    if (!m_replica.isComplete() || m_replica.revision() < frame.revision) {
+        return;
+    }
+    proxy::SyncReplyFrame reply;
+    reply.revision = m_replica.revision();
+    reply.askedAt = frame.askedAt;
+    reply.age = m_replica.age(now);
+    reply.items = m_replica.items();
+    for (auto &item : reply.items) {
+        if (item.revision <= frame.revision) {
+            item.value.clear();
+        }
+    }
+    send(peer, reply, now);
+}
+
+} // namespace celeryramp::engine
--- /dev/null
+++ b/src/celeryramp/engine/peer_coordinator.h
@@ -0,0 +1,114 @@
+#pragma once
+
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "core/address.h"
+#include "core/random.h"
+#include "directory/replica.h"
+#include "engine/engine_settings.h"
+#include "links/peer_links.h"
+#include "proxy/fleet_limiter.h"
+#include "proxy/frames.h"
+#include "proxy/usage_ledger.h"
+
+namespace celeryramp::engine {
+
+/*!
+ * @brief Exchanges account usage and published state between nodes.
+ *
+ * One node in each zone aggregates the usage: the reachable node with the lowest address, as seen
+ * by each node. Nodes that disagree on it for a moment make the figures older, not wrong. Nodes get
+ * published state that they do not read themselves from the readers of their zone and from peers.
+ */
+class PeerCoordinator
+{
+public:
+    PeerCoordinator(const EngineSettings &settings, links::PeerLinks &peers,
+                    directory::Replica &replica, proxy::FleetLimiter &limiter, std::uint64_t seed);
+
+    /*! @brief Sends the reports, probes and sync requests that are due. Called every
+     * `kTickInterval`. */
+    void tick(TimePoint now);
+
+    void onUsage(const Address &peer, const proxy::UsageFrame &frame, TimePoint now);
+    void onLevels(const Address &peer, const proxy::LevelsFrame &frame, TimePoint now);
+    void onSyncRequest(const Address &peer, const proxy::SyncRequestFrame &frame, TimePoint now);
+
+    /*!
+     * @brief Decides whether this node reads the platform. The first reachable node of a zone reads
+     * for all others; a node also reads when its replica is old or known to be behind.
+     * @return Pause after changes, or nothing if the node does not read.
+     */
+    [[nodiscard]] std::optional<Millis> readPause(TimePoint now) const;
+    /*! @brief Sets whether this node can read the platform, and tells its zone when that changes.
+     */
+    void setCanRead(bool canRead, TimePoint now);
+    /*! @brief Records whether a node of the zone can read the platform. */
+    void onReaderStatus(const Address &peer, bool canRead, TimePoint now);
+    /*! @brief Makes this node read up to a revision whose changes are too large to be forwarded. */
+    void requireRead(std::int64_t revision) noexcept
+    {
+        m_requiredRevision = std::max(m_requiredRevision, revision);
+    }
+    /*! @brief Forwards changes that this node has read to its zone, or announces them if they are
+     * too large. */
+    void forwardChanges(const proxy::NewsFrame &news, TimePoint now);
+    /*! @brief Sends a frame to all nodes of all zones. */
+    void broadcast(const proxy::Frame &frame, TimePoint now);
+    /*! @brief Requests the state after this node's revision from a peer. */
+    void requestSync(const Address &peer, TimePoint now);
+
+    /*! @return Addresses of the other nodes of a zone, ordered by host. Includes nodes whose server
+     * was published recently. */
+    [[nodiscard]] std::vector<Address> nodesInZone(const std::string &zone) const;
+    /*! @return Number of nodes whose server is published or was recently, with this one; at least
+     * 1. */
+    [[nodiscard]] std::size_t nodeCount() const;
+
+    static constexpr Millis kTickInterval{250};
+
+private:
+    [[nodiscard]] std::vector<std::string> zones() const;
+    [[nodiscard]] bool hasReadFailed(const std::string &host, TimePoint now) const;
+    [[nodiscard]] Address aggregatorOf(const std::string &zone, TimePoint now) const;
+    /*! @return True if the peer can act for its zone as aggregator or reader. A peer that failed
+     * qualifies again only when a link is open, since a frame sent to it is lost if it is still
+     * down. */
+    [[nodiscard]] bool isReliable(const Address &peer, TimePoint now) const;
+    /*! @brief Tries to open links to failed nodes, in order to detect that they are back. */
+    void probeFailedNodes(TimePoint now);
+    void send(const Address &peer, const proxy::Frame &frame, TimePoint now);
+    void reportUsage(TimePoint now);
+    /*! @brief Adds the nodes of published servers and drops nodes that are no longer published. */
+    void updateKnownNodes(TimePoint now);
+    void syncIfStale(TimePoint now);
+
+    const EngineSettings &m_settings;
+    links::PeerLinks &m_peers;
+    directory::Replica &m_replica;
+    proxy::FleetLimiter &m_limiter;
+    proxy::UsageLedger m_ledger;
+    RandomEngine m_random;
+    TimePoint m_lastDemandAt; /*!< Last demand of accounts at this node. */
+    TimePoint m_lastZoneDemandAt; /*!< Last demand in the zone, kept while this node aggregates. */
+    TimePoint m_lastZoneReportAt;
+    struct KnownNode
+    {
+        std::string zone;
+        TimePoint publishedAt;
+    };
+
+    std::map<std::string, KnownNode> m_knownNodes; /*!< Other nodes published recently, by host. */
+    TimePoint m_lastReportAt;
+    TimePoint m_lastProbeAt;
+    TimePoint m_lastSyncRequestAt;
+    std::int64_t m_requiredRevision = 0; /*!< Revision up to which this node reads by itself. */
+    std::map<std::string, TimePoint>
+            m_readFailedAt; /*!< When nodes reported that they cannot read, by host. */
+};
+
+} // namespace celeryramp::engine
--- a/src/celeryramp/engine/settings_reader.cpp
+++ b/src/celeryramp/engine/settings_reader.cpp
@@ -13,8 +13,8 @@
 
 namespace internal {
 
-/*! Margin by which API keys are distrusted before the bound on their revocation. */
-constexpr Millis kKeyMargin{500};
+/*! API keys are rejected this long before the revocation bound is reached. */
+constexpr Millis kKeyFreshnessMargin{500};
 
 struct TextKey
 {
@@ -28,14 +28,14 @@
     Address EngineSettings::*member;
 };
 
-constexpr std::array<TextKey, 3> kTexts{{{"name", &EngineSettings::name},
-                                         {"zone", &EngineSettings::zone},
-                                         {"service", &EngineSettings::service}}};
+constexpr std::array<TextKey, 3> kTextKeys{{{"name", &EngineSettings::name},
+                                            {"zone", &EngineSettings::zone},
+                                            {"service", &EngineSettings::service}}};
 
-constexpr std::array<AddressKey, 4> kAddresses{{{"callers", &EngineSettings::callers},
-                                                {"links", &EngineSettings::links},
-                                                {"readiness", &EngineSettings::readiness},
-                                                {"backend", &EngineSettings::backend}}};
+constexpr std::array<AddressKey, 4> kAddressKeys{{{"callers", &EngineSettings::callers},
+                                                  {"links", &EngineSettings::links},
+                                                  {"readiness", &EngineSettings::readiness},
+                                                  {"backend", &EngineSettings::backend}}};
 
 [[nodiscard]] std::optional<SettingsError> readBounds(const toml::table &bounds,
                                                       EngineSettings &settings)
@@ -46,13 +46,13 @@
                                              : std::optional<Millis>{};
         const auto number = node.value<double>();
         if (name == "revocation" && millis) {
-            settings.keyFreshness = *millis - kKeyMargin;
+            settings.keyFreshness = *millis - kKeyFreshnessMargin;
         } else if (name == "grace" && millis) {
             settings.grace = *millis;
         } else if (name == "retry_ratio" && number && *number >= 0.0 && *number <= 1.0) {
             settings.retryRatio = *number;
         } else {
-            return SettingsError{"bounds." + name, "unknown, or not of the right kind"};
+            return SettingsError{"bounds." + name, "unknown setting, or invalid value"};
         }
     }
     return std::nullopt;
@@ -71,28 +71,28 @@
         return SettingsError{place.str(), std::string{error.description()}};
     }
     ProcessSettings settings;
-    for (const auto &[name, member] : internal::kTexts) {
+    for (const auto &[name, member] : internal::kTextKeys) {
         const auto value = table[name].value<std::string>();
         if (!value || value->empty()) {
             return SettingsError{name, "missing or empty"};
         }
         settings.engine.*member = *value;
     }
-    for (const auto &[name, member] : internal::kAddresses) {
+    for (const auto &[name, member] : internal::kAddressKeys) {
         const auto address = parseAddress(table[name].value_or(std::string_view{}));
         if (!address) {
-            return SettingsError{name, "no address of the form IP:port"};
+            return SettingsError{name, "not an address of the form IP:port"};
         }
         settings.engine.*member = *address;
     }
     const auto source = parseAddress(table["source"].value_or(std::string_view{}));
     if (!source) {
-        return SettingsError{"source", "no address of the form IP:port"};
+        return SettingsError{"source", "not an address of the form IP:port"};
     }
     settings.source = *source;
     if (const auto port = table["metrics_port"].value<std::int64_t>()) {
         if (*port < 1 || *port > 65535) {
-            return SettingsError{"metrics_port", "not from 1 to 65535"};
+            return SettingsError{"metrics_port", "not in the range from 1 to 65535"};
         }
         settings.engine.metrics
                 = Address{settings.engine.links.host, static_cast<std::uint16_t>(*port)};
--- a/src/celeryramp/engine/settings_reader.h
+++ b/src/celeryramp/engine/settings_reader.h
@@ -9,25 +9,25 @@
 
 namespace celeryramp::engine {
 
-/*! @brief Why settings are not usable. */
+/*! @brief Error in the settings. */
 struct SettingsError
 {
-    std::string place; /*!< Key, or file. */
+    std::string place; /*!< Key, file, or position in the text. */
     std::string reason;
 };
 
-/*! @brief Settings of one process: those of the engine, and where published state is read. */
+/*! @brief Settings of one process. */
 struct ProcessSettings
 {
     EngineSettings engine;
-    Address source;
+    Address source; /*!< Address that published state is read from. */
     LogLevel logLevel = LogLevel::Info;
 };
 
-/*! @return The settings in a TOML text, or the first key that is not usable. */
+/*! @return Settings from TOML text, or the first error. */
 [[nodiscard]] Result<ProcessSettings, SettingsError> readSettings(std::string_view text);
 
-/*! @return The settings in a TOML file. */
+/*! @return Settings from a TOML file, or the first error. */
 [[nodiscard]] Result<ProcessSettings, SettingsError> loadSettings(const std::string &path);
 
 } // namespace celeryramp::engine
--- a/src/celeryramp/engine/status_port.cpp
+++ b/src/celeryramp/engine/status_endpoint.cpp
@@ -1,4 +1,4 @@
-#include "engine/status_port.h"
+#include "engine/status_endpoint.h"
 
 #include "core/boot_clock.h"
 #include "observe/log.h"
@@ -7,14 +7,14 @@
 
 namespace internal {
 
-/*! Time a silent client of the port is kept. */
-constexpr Millis kIdle{30'000};
-constexpr Millis kHeader{3000};
+/*! Time after which an idle connection is closed. */
+constexpr Millis kIdleTimeout{30'000};
+constexpr Millis kHeaderTimeout{3000};
 
 } // namespace internal
 
-StatusPort::StatusPort(boost::asio::io_context &context, Respond respond)
-    : m_respond{std::move(respond)},
+StatusEndpoint::StatusEndpoint(boost::asio::io_context &context, RequestHandler handler)
+    : m_handler{std::move(handler)},
       m_listener{context, [this](boost::asio::ip::tcp::socket socket) {
                      auto connection = std::make_shared<http::CallerConnection>(std::move(socket),
                                                                                 *this, bootNow());
@@ -23,12 +23,12 @@
                  }}
 { }
 
-Result<void, http::HttpError> StatusPort::open(const Address &address)
+Result<void, http::HttpError> StatusEndpoint::open(const Address &address)
 {
     return m_listener.open(address);
 }
 
-void StatusPort::close()
+void StatusEndpoint::close()
 {
     m_listener.close();
     const auto connections = m_connections;
@@ -37,25 +37,25 @@
     }
 }
 
-void StatusPort::sweep(TimePoint now)
+void StatusEndpoint::sweep(TimePoint now)
 {
     const auto connections = m_connections;
     for (const auto &connection : connections) {
-        connection->sweep(internal::kHeader, internal::kIdle, now);
+        connection->sweep(internal::kHeaderTimeout, internal::kIdleTimeout, now);
     }
 }
 
-void StatusPort::onRequest(const http::CallerConnectionPtr &connection, http::Request request)
+void StatusEndpoint::onRequest(const http::CallerConnectionPtr &connection, http::Request request)
 {
-    connection->answer(m_respond(request.target), false);
+    connection->answer(m_handler(request.target), false);
 }
 
-void StatusPort::onBadRequest(int status)
+void StatusEndpoint::onBadRequest(int status)
 {
     logEvent(LogLevel::Warn, "status", "request-unreadable", {{"status", std::to_string(status)}});
 }
 
-void StatusPort::onClosed(const http::CallerConnectionPtr &connection)
+void StatusEndpoint::onClosed(const http::CallerConnectionPtr &connection)
 {
     m_connections.erase(connection);
 }
--- a/src/celeryramp/engine/status_port.h
+++ b/src/celeryramp/engine/status_endpoint.h
@@ -12,16 +12,16 @@
 
 namespace celeryramp::engine {
 
-/*! @brief Answers GET requests with text, for readiness and metrics. */
-class StatusPort final : public http::CallerEvents
+/*! @brief HTTP endpoint for readiness and metrics. */
+class StatusEndpoint final : public http::CallerEvents
 {
 public:
-    /*! Makes the answer for a path. */
-    using Respond = std::function<http::Answer(std::string_view path)>;
+    /*! Returns the answer for a request target. */
+    using RequestHandler = std::function<http::Answer(std::string_view path)>;
 
-    StatusPort(boost::asio::io_context &context, Respond respond);
+    StatusEndpoint(boost::asio::io_context &context, RequestHandler handler);
 
-    /*! @return Nothing, or why the address cannot be listened on. */
+    /*! @brief Listens on an address. @return Nothing, or why the address cannot be listened on. */
     [[nodiscard]] Result<void, http::HttpError> open(const Address &address);
     void close();
     void sweep(TimePoint now);
@@ -32,7 +32,7 @@
     [[nodiscard]] http::RequestBounds requestBounds() const override { return {}; }
 
 private:
-    Respond m_respond;
+    RequestHandler m_handler;
     http::Listener m_listener;
     std::set<http::CallerConnectionPtr> m_connections;
 };
