--- a/test/engine/engine.cpp
+++ b/test/engine/engine.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/*! A bound of the promises: a caller's close reaches the server within half a second. */
-constexpr Millis kCloseReaches{500};
+/*! Guaranteed limit for a disconnect of the caller to reach the server. */
+constexpr Millis kDisconnectTimeout{500};
 
-int seenInAll(const Mesh &mesh)
+int receivedRequests(const Mesh &mesh)
 {
     int n = 0;
     for (const auto &node : mesh.nodes) {
@@ -25,7 +25,7 @@
     return n;
 }
 
-void setAll(Mesh &mesh, const ScriptedServer::Respond &respond)
+void setAllResponders(Mesh &mesh, const ScriptedServer::Respond &respond)
 {
     for (const auto &node : mesh.nodes) {
         node->server->setRespond(respond);
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("A request reaches a server unchanged through its own node, and its answer comes back")
+TEST_CASE("A request reaches a server unchanged and its answer is returned")
 {
     Mesh mesh{3};
     for (int i = 0; i < 12; ++i) {
@@ -43,7 +43,7 @@
         REQUIRE(outcome.answer.status == 200);
         REQUIRE(outcome.answer.body == "ok");
     }
-    REQUIRE(seenInAll(mesh) == 12);
+    REQUIRE(receivedRequests(mesh) == 12);
     int used = 0;
     for (const auto &node : mesh.nodes) {
         used += node->server->seen.empty() ? 0 : 1;
@@ -59,7 +59,7 @@
     REQUIRE(used > 1);
 }
 
-TEST_CASE("Keys decide who may call, are not passed on, and count only while knowledge is fresh")
+TEST_CASE("API keys are checked against a fresh replica only and are not forwarded")
 {
     Mesh mesh{1};
     REQUIRE(mesh.callAndWait(0, "GET", "/keyed/", {{"T-Key", "k1"}}).answer.status == 200);
@@ -74,15 +74,15 @@
     REQUIRE(mesh.callAndWait(0, "GET", "/safe/").answer.status == 200);
 }
 
-TEST_CASE("A caller that leaves frees the server soon, through another node too")
+TEST_CASE("A disconnect of the caller reaches the server in time even through another node")
 {
     Mesh mesh{2};
-    setAll(mesh, [](const http::Request &) { return Script{}; });
+    setAllResponders(mesh, [](const http::Request &) { return Script{}; });
     for (int i = 0; i < 4; ++i) {
         const auto outcome = std::make_shared<Outcome>();
-        const auto seen = seenInAll(mesh);
+        const auto seen = receivedRequests(mesh);
         const auto caller = mesh.call(0, "GET", "/safe/", outcome);
-        REQUIRE(mesh.runUntil([&] { return seenInAll(mesh) == seen + 1; }, Millis{1000}));
+        REQUIRE(mesh.runUntil([&] { return receivedRequests(mesh) == seen + 1; }, Millis{1000}));
         caller->cancel();
         REQUIRE(mesh.runUntil(
                 [&] {
@@ -90,11 +90,12 @@
                             + mesh.nodes[1]->server->openConnections
                             <= 2 - 1;
                 },
-                kCloseReaches));
+                kDisconnectTimeout));
     }
 }
 
-TEST_CASE("What is not whole never looks so, and what must run once is not sent again")
+TEST_CASE(
+        "A truncated or invalid answer fails with 502 and a non-idempotent request is not retried")
 {
     Mesh mesh{2};
     const auto script = GENERATE(
@@ -105,28 +106,28 @@
                    true},
             Script{"HTTP/1.1 200 OK\r\nT-Request: r1\r\nContent-Length: 2\r\n\r\nno", true},
             Script{"", true});
-    setAll(mesh, [script](const http::Request &) { return Script{script}; });
+    setAllResponders(mesh, [script](const http::Request &) { return Script{script}; });
     const auto once = mesh.callAndWait(0, "POST", "/once/", {}, "x");
     REQUIRE(once.answer.status == 502);
     REQUIRE(once.answer.body.empty());
-    REQUIRE(seenInAll(mesh) == 1);
+    REQUIRE(receivedRequests(mesh) == 1);
 }
 
-TEST_CASE("What may run twice is tried at another server")
+TEST_CASE("An idempotent request is retried at another server")
 {
     Mesh mesh{2};
     int answered = 0;
-    setAll(mesh, [&answered](const http::Request &request) {
+    setAllResponders(mesh, [&answered](const http::Request &request) {
         ++answered;
         return answered == 1 ? Script{"", true}
                              : Script{ScriptedServer::good(request, "ok"), false};
     });
     const auto outcome = mesh.callAndWait(0, "GET", "/safe/");
     REQUIRE(outcome.answer.status == 200);
-    REQUIRE(seenInAll(mesh) == 2);
+    REQUIRE(receivedRequests(mesh) == 2);
 }
 
-TEST_CASE("A second answer belongs to no request")
+TEST_CASE("A surplus answer of the server is not matched to the next request")
 {
     Mesh mesh{1};
     auto &server = *mesh.nodes[0]->server;
@@ -140,7 +141,7 @@
     }
 }
 
-TEST_CASE("An answer of an earlier request is skipped, the right one behind it is taken")
+TEST_CASE("An answer to an earlier request is skipped and the matching one is returned")
 {
     Mesh mesh{1};
     mesh.nodes[0]->server->setRespond([](const http::Request &request) {
@@ -152,7 +153,7 @@
     REQUIRE(mesh.callAndWait(0, "POST", "/once/", {}, "x").answer.body == "new");
 }
 
-TEST_CASE("A server that refuses for load is no answer while another has room")
+TEST_CASE("A request shed by one server is sent to another")
 {
     Mesh mesh{2};
     mesh.nodes[0]->server->setRespond([](const http::Request &) {
@@ -166,7 +167,7 @@
     REQUIRE(mesh.nodes[1]->server->seen.size() >= 5);
 }
 
-TEST_CASE("A server that drains gets nothing more, whichever node knows")
+TEST_CASE("A draining server receives no requests even from its own node")
 {
     Mesh mesh{2};
     mesh.publish({1});
@@ -177,7 +178,7 @@
     REQUIRE(mesh.nodes[0]->server->seen.size() == 10);
 }
 
-TEST_CASE("Without a configuration everything is refused as not run: the node is not ready")
+TEST_CASE("Without a configuration requests are refused and the node is not ready")
 {
     Mesh mesh{0};
     test::TestDialect dialect;
@@ -213,7 +214,7 @@
     REQUIRE(ask(Mesh::kReadinessPort, "/ready") == 503);
 }
 
-TEST_CASE("Pattern: nodes are stopped one after the other, what was read is answered")
+TEST_CASE("Rolling restart: requests are answered while a node shuts down")
 {
     Mesh mesh{2};
     std::vector<std::shared_ptr<Outcome>> outcomes;
@@ -232,10 +233,10 @@
     }
 }
 
-TEST_CASE("Pattern: the servers of a zone are gone, its callers keep their part of the limits")
+TEST_CASE("Zone without servers: its callers keep their share of the rate limits")
 {
     Mesh mesh{4, 2};
-    mesh.run(Millis{1200}); // all zones have told their sums
+    mesh.run(Millis{1200}); // until both zones have exchanged usage reports
     mesh.publish({}, {2, 3});
     int refused = 0;
     const auto end = bootNow() + Millis{4000};
@@ -244,7 +245,7 @@
             const auto outcome = mesh.callAndWait(node, "GET", "/keyed/", {{"T-Key", "k3"}});
             refused += outcome.answer.status == 429 ? 1 : 0;
         }
-        mesh.run(Millis{120}); // 16 a second of 20
+        mesh.run(Millis{120}); // about 16 of 20 requests per second
     }
     REQUIRE(refused == 0);
 }
--- a/test/engine/settings_reader.cpp
+++ b/test/engine/settings_reader.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const std::string kGood = R"(
+const std::string kValidSettings = R"(
 name = "node-1"
 zone = "north"
 service = "stock"
@@ -23,17 +23,17 @@
 retry_ratio = 0.2
 )";
 
-std::string with(const std::string &from, const std::string &to)
+std::string replaced(const std::string &from, const std::string &to)
 {
-    auto text = kGood;
+    auto text = kValidSettings;
     return text.replace(text.find(from), from.size(), to);
 }
 
 } // namespace
 
-TEST_CASE("Good settings are read whole")
+TEST_CASE("Valid settings are read completely")
 {
-    const auto settings = readSettings(kGood);
+    const auto settings = readSettings(kValidSettings);
     REQUIRE(settings);
     REQUIRE(settings.value().engine.links.port == 8002);
     REQUIRE(settings.value().source.port == 8005);
@@ -43,23 +43,23 @@
     REQUIRE(settings.value().engine.retryRatio == Approx(0.2));
 }
 
-TEST_CASE("Settings that are not usable are named")
+TEST_CASE("The first invalid setting is reported by its key")
 {
     const auto [text, place] = GENERATE(table<std::string, std::string>(
-            {{with("name = \"node-1\"", ""), "name"},
-             {with("\"127.0.0.1:8002\"", "\"localhost:8002\""), "links"},
-             {with("127.0.0.1:8005", "127.0.0.1"), "source"},
-             {with("8006", "80060"), "metrics_port"},
-             {with("\"6s\"", "\"6\""), "bounds.grace"},
-             {with("0.2", "2.0"), "bounds.retry_ratio"},
-             {with("retry_ratio", "retry_ration"), "bounds.retry_ration"},
-             {with("service", "log_level = \"loud\"\nservice"), "log_level"}}));
+            {{replaced("name = \"node-1\"", ""), "name"},
+             {replaced("\"127.0.0.1:8002\"", "\"localhost:8002\""), "links"},
+             {replaced("127.0.0.1:8005", "127.0.0.1"), "source"},
+             {replaced("8006", "80060"), "metrics_port"},
+             {replaced("\"6s\"", "\"6\""), "bounds.grace"},
+             {replaced("0.2", "2.0"), "bounds.retry_ratio"},
+             {replaced("retry_ratio", "retry_ration"), "bounds.retry_ration"},
+             {replaced("service", "log_level = \"loud\"\nservice"), "log_level"}}));
     const auto settings = readSettings(text);
     REQUIRE_FALSE(settings);
     REQUIRE(settings.error().place == place);
 }
 
-TEST_CASE("Text that is no TOML is reported with its place")
+TEST_CASE("Invalid TOML is reported with a reason")
 {
     const auto settings = readSettings("name = ");
     REQUIRE_FALSE(settings);
--- a/test/support/mesh.h
+++ b/test/support/mesh.h
@@ -14,7 +14,7 @@
 
 namespace celeryramp::test {
 
-/*! @brief A source that a test speaks for. */
+/*! @brief Item source whose sink a test calls directly. */
 class ScriptedSource final : public directory::ItemSource
 {
 public:
@@ -25,7 +25,7 @@
     directory::ItemSink *sink = nullptr;
 };
 
-/*! @brief Answer to a caller of the mesh, or how it failed. */
+/*! @brief Result of a call to the mesh: an answer, or how the exchange ended. */
 struct Outcome
 {
     bool isDone = false;
@@ -34,32 +34,38 @@
 };
 
 /*!
- * @brief Nodes with their servers in one process and thread, on loopback addresses 127.0.0.11 and
- * on. All nodes are in zone `north` unless said otherwise, and all servers of service `stock`, with
- * the routes `/safe/` (may be repeated), `/once/` (may not), `/keyed/` (needs a key: `k1` of an
- * account without limit, `k3` of one with 20 requests a second and as many at once).
+ * @brief Nodes with their servers in one process and thread, on loopback addresses from 127.0.0.11.
+ *
+ * All nodes are in zone `north` by default. All servers belong to service `stock`. The routes are
+ * `/safe/` (idempotent), `/once/` (not idempotent) and `/keyed/` (idempotent, requires a key). Key
+ * `k1` belongs to an account without limit, `k3` to one with a rate of 20 requests per second and a
+ * burst of 20.
  */
 class Mesh
 {
 public:
-    /*! @param south The last so many nodes are in zone `south`. */
+    /*! @param nodes Number of nodes. @param south Number of nodes in zone `south`, the last ones.
+     */
     explicit Mesh(int nodes, int south = 0);
 
-    /*! @brief Lists all again to all nodes. @param draining Servers that leave. @param missing
-     * Servers that are not listed. */
+    /*!
+     * @brief Sends a complete list of items to all nodes.
+     * @param draining Indexes of servers listed as draining.
+     * @param missing Indexes of servers that are not listed.
+     */
     void publish(const std::set<int> &draining = {}, const std::set<int> &missing = {});
 
     /*! @brief Sends a request to a node as a caller. */
     http::ClientConnectionPtr call(int node, const std::string &method, const std::string &target,
                                    const std::shared_ptr<Outcome> &outcome,
                                    const http::Headers &headers = {}, const std::string &body = {});
-    /*! @brief Sends a request and waits for its end. */
+    /*! @brief Sends a request and waits up to 4 s for the result. */
     Outcome callAndWait(int node, const std::string &method, const std::string &target,
                         const http::Headers &headers = {}, const std::string &body = {});
 
-    /*! @brief Runs for a time. */
+    /*! @brief Runs the event loop for a time. */
     void run(Millis time);
-    /*! @brief Runs until the condition holds. @return False when it did not in time. */
+    /*! @brief Runs the event loop until a condition holds. @return False on timeout. */
     [[nodiscard]] bool runUntil(const std::function<bool()> &condition, Millis most);
 
     struct Node
--- a/test/support/sample_config.h
+++ b/test/support/sample_config.h
@@ -17,8 +17,8 @@
     double burst = 50.0;
 };
 
-/*! @return Parts of a valid configuration: zones z0.., servers s-z0-0.., account `acme` with key
- * `k1.secret`. */
+/*! @return Parts of a valid configuration with zones z0 and on, servers s-z0-0 and on, and account
+ * `acme` with key `k1.secret`. */
 [[nodiscard]] std::map<std::string, std::string> sampleParts(const SampleShape &shape = {});
 
 /*! @return A valid document of this version. */
@@ -29,7 +29,7 @@
 [[nodiscard]] celeryramp::SnapshotPtr sampleSnapshot(std::uint64_t version,
                                                      const SampleShape &shape = {});
 
-/*! @return A point of time so many milliseconds after a fixed start. */
+/*! @return The point in time that lies this many milliseconds after a fixed start. */
 [[nodiscard]] celeryramp::TimePoint at(std::int64_t millis);
 
 } // namespace testsupport
--- a/test/support/scripted_server.h
+++ b/test/support/scripted_server.h
@@ -15,14 +15,14 @@
 
 namespace celeryramp::test {
 
-/*! @brief A backend server whose bytes a test decides on; notes what reached it. */
+/*! @brief Backend server that sends scripted bytes and records the requests it receives. */
 class ScriptedServer
 {
 public:
-    /*! What to send for a request; `closes` ends the connection afterwards. */
+    /*! Bytes to send for a request; `closes` closes the connection afterwards. */
     struct Script
     {
-        std::string bytes; /*!< Empty: no answer until the test ends. */
+        std::string bytes; /*!< Empty for no answer. */
         bool closes = false;
     };
 
@@ -30,13 +30,13 @@
 
     ScriptedServer(boost::asio::io_context &context, const Address &address, std::string id);
 
-    /*! @brief Replaces the behaviour, which is a whole signed answer at first. */
+    /*! @brief Replaces the default behaviour, which is a complete signed answer. */
     void setRespond(Respond respond) { m_respond = std::move(respond); }
 
-    /*! @return A whole signed answer to the request. */
+    /*! @return A complete signed answer to the request. */
     [[nodiscard]] static std::string good(const http::Request &request, const std::string &body);
 
-    std::vector<http::Request> seen; /*!< Without questions about health. */
+    std::vector<http::Request> seen; /*!< Received requests except health probes. */
     int openConnections = 0;
 
 private:
--- a/test/support/test_dialect.h
+++ b/test/support/test_dialect.h
@@ -4,7 +4,7 @@
 
 namespace celeryramp::test {
 
-/*! @brief Headers of a made-up deployment, for tests of the engine. */
+/*! @brief Dialect of a fictitious deployment for engine tests; its headers start with `T-`. */
 class TestDialect final : public proxy::Dialect
 {
 public:
--- a/test/support/text_decoder.h
+++ b/test/support/text_decoder.h
@@ -5,8 +5,10 @@
 namespace celeryramp::test {
 
 /*!
- * @brief Reads items of a plain format for tests: `configuration` holds a version, `zone/Z` says
- * that the zone is evacuated, `server/ID` holds "id service zone address slots state cold started".
+ * @brief Decodes items in a plain text format for tests.
+ *
+ * `configuration` holds a version, `zone/Z` marks zone Z as evacuated, and `server/ID` holds
+ * "id service zone address slots state cold started", the last two in milliseconds.
  */
 class TextDecoder final : public directory::ItemDecoder
 {
@@ -14,7 +16,7 @@
     [[nodiscard]] Result<directory::DecodedItem, directory::DirectoryError>
     decode(std::string_view key, std::string_view value) const override;
 
-    /*! Routes, services and accounts of every version. */
+    /*! Routes, services and accounts that each version contains. */
     directory::Configuration base;
 };
 
