--- a/src/celeryramp/membership/failure_detector.cpp
+++ b/src/celeryramp/membership/failure_detector.cpp
@@ -6,46 +6,46 @@
 
 void FailureDetector::heard(const std::string &server, std::uint64_t incarnation, TimePoint now)
 {
-    auto &watch = m_watches[server];
-    watch.incarnation = std::max(watch.incarnation, incarnation);
-    watch.lastHeard = now;
-    watch.refused = false;
-    watch.reported = false;
+    auto &member = m_members[server];
+    member.incarnation = std::max(member.incarnation, incarnation);
+    member.lastHeartbeat = now;
+    member.connectionRefused = false;
+    member.reported = false;
 }
 
 void FailureDetector::refused(const std::string &server)
 {
-    if (const auto it = m_watches.find(server); it != m_watches.end()) {
-        it->second.refused = true;
+    if (const auto it = m_members.find(server); it != m_members.end()) {
+        it->second.connectionRefused = true;
     }
 }
 
 void FailureDetector::forgive(TimePoint now)
 {
-    for (auto &[server, watch] : m_watches) {
-        watch.lastHeard = now;
+    for (auto &[server, member] : m_members) {
+        member.lastHeartbeat = now;
     }
 }
 
 void FailureDetector::forget(const std::string &server)
 {
-    m_watches.erase(server);
+    m_members.erase(server);
 }
 
 std::uint64_t FailureDetector::incarnationOf(const std::string &server) const
 {
-    const auto it = m_watches.find(server);
-    return it == m_watches.end() ? 0 : it->second.incarnation;
+    const auto it = m_members.find(server);
+    return it == m_members.end() ? 0 : it->second.incarnation;
 }
 
 std::vector<Missing> FailureDetector::poll(TimePoint now)
 {
     std::vector<Missing> missing;
-    for (auto &[server, watch] : m_watches) {
-        const bool silent = now - watch.lastHeard >= kSuspicionTimeout;
-        if (!watch.reported && (silent || watch.refused)) {
-            watch.reported = true;
-            missing.push_back({server, watch.incarnation});
+    for (auto &[server, member] : m_members) {
+        const bool silent = now - member.lastHeartbeat >= kSuspicionTimeout;
+        if (!member.reported && (silent || member.connectionRefused)) {
+            member.reported = true;
+            missing.push_back({server, member.incarnation});
         }
     }
     return missing;
--- a/src/celeryramp/membership/failure_detector.h
+++ b/src/celeryramp/membership/failure_detector.h
@@ -9,53 +9,64 @@
 
 namespace celeryramp {
 
-/*! @brief Interval between two heartbeats to the same neighbour. */
+/*! @brief Interval between two heartbeats to the same member. */
 inline constexpr Millis kHeartbeatInterval{2000};
-/*! @brief Silence after which an observer suspects a neighbour. */
+/*! @brief Time without a heartbeat after which an observer suspects a member. */
 inline constexpr Millis kSuspicionTimeout{3 * kHeartbeatInterval};
 
-/*! @brief A neighbour that this node misses. */
+/*! @brief A member that this node suspects to have failed. */
 struct Missing
 {
     std::string server;
-    std::uint64_t incarnation = 0; /*!< Last incarnation heard from. */
+    std::uint64_t incarnation = 0; /*!< Highest incarnation received in its heartbeats. */
 };
 
 /*!
- * @brief Watches those members that send this node heartbeats.
- * Says nothing about members it never heard from.
+ * @brief Detects the failure of members that send heartbeats to this node.
+ *
+ * A member is reported as missing after `kSuspicionTimeout` without a heartbeat, or as soon as a
+ * connection to it is refused. Members that never sent a heartbeat are not monitored.
  */
 class FailureDetector
 {
 public:
-    /*! @brief A member gave a sign of life. */
+    /*! @brief Records a heartbeat and starts to monitor the member if necessary. */
     void heard(const std::string &server, std::uint64_t incarnation, TimePoint now);
 
-    /*! @brief A member cannot be connected to: its host answers that nobody listens. */
+    /*!
+     * @brief Records that a member's host refused a connection because no process listens there.
+     * Has no effect if the member is not monitored.
+     */
     void refused(const std::string &server);
 
-    /*! @brief This process itself was paused; silence in that time proves nothing. */
+    /*!
+     * @brief Restarts the timeouts of all members after a pause of this process.
+     * Heartbeats sent during the pause could not be received, so their absence proves nothing.
+     */
     void forgive(TimePoint now);
 
-    /*! @brief No longer watches a member that is heard elsewhere. */
+    /*! @brief Stops monitoring a member that sends its heartbeats to other observers. */
     void forget(const std::string &server);
 
-    /*! @return Highest incarnation heard from a member; 0 when none was. */
+    /*! @return Highest incarnation received from a member, or 0 if it is not monitored. */
     [[nodiscard]] std::uint64_t incarnationOf(const std::string &server) const;
 
-    /*! @return Members that went missing since the last call; each is reported once per silence. */
+    /*!
+     * @return Members that are missing and not reported yet. A member is reported again only after
+     * a new heartbeat and another failure.
+     */
     [[nodiscard]] std::vector<Missing> poll(TimePoint now);
 
 private:
-    struct Watch
+    struct MonitoredMember
     {
         std::uint64_t incarnation = 0;
-        TimePoint lastHeard;
-        bool refused = false;
+        TimePoint lastHeartbeat;
+        bool connectionRefused = false;
         bool reported = false;
     };
 
-    std::map<std::string, Watch> m_watches;
+    std::map<std::string, MonitoredMember> m_members;
 };
 
 } // namespace celeryramp
--- a/src/celeryramp/membership/fwd.h
+++ b/src/celeryramp/membership/fwd.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the membership module: who is there, as a hint that safety never
- *  depends on.
+ *  Forward declarations of the membership module, which estimates which members are alive. The
+ *  estimate is only a hint: no safety guarantee depends on it.
  */
 
 namespace celeryramp {
