--- a/src/celeryramp/membership/membership_view.cpp
+++ b/src/celeryramp/membership/membership_view.cpp
@@ -6,7 +6,8 @@
 
 namespace internal {
 
-constexpr std::size_t kObserversToConcur = 2;
+/*! Number of observers that must suspect a member before it counts as down. */
+constexpr std::size_t kDownQuorum = 2;
 
 } // namespace internal
 
@@ -27,30 +28,30 @@
 
 MemberState MembershipView::state(const std::string &server) const
 {
-    const auto n = suspicions(server);
-    if (n >= internal::kObserversToConcur) {
+    const auto count = suspicionCount(server);
+    if (count >= internal::kDownQuorum) {
         return MemberState::Down;
     }
     if (isLeaving(server)) {
         return MemberState::Leaving;
     }
-    return n > 0 ? MemberState::Suspected : MemberState::Alive;
+    return count > 0 ? MemberState::Suspected : MemberState::Alive;
 }
 
 bool MembershipView::isDown(const std::string &server) const
 {
-    return suspicions(server) >= internal::kObserversToConcur;
+    return suspicionCount(server) >= internal::kDownQuorum;
 }
 
 bool MembershipView::isLeaving(const std::string &server) const
 {
-    if (const auto left = m_rumours.sequence(RumourKind::Leaving, server);
-        left && *left >= incarnation(server)) {
+    if (const auto announced = m_rumours.sequence(RumourKind::Leaving, server);
+        announced && *announced >= incarnation(server)) {
         return true;
     }
-    const auto listed = m_rumours.sequence(RumourKind::ListedLeaving, server);
-    const auto live = m_rumours.sequence(RumourKind::ListedLive, server);
-    return listed && (!live || *listed > *live);
+    const auto listedLeaving = m_rumours.sequence(RumourKind::ListedLeaving, server);
+    const auto listedLive = m_rumours.sequence(RumourKind::ListedLive, server);
+    return listedLeaving && (!listedLive || *listedLeaving > *listedLive);
 }
 
 std::uint64_t MembershipView::incarnation(const std::string &server) const
@@ -58,12 +59,13 @@
     return m_rumours.sequence(RumourKind::Alive, server).value_or(0);
 }
 
-std::size_t MembershipView::suspicions(const std::string &server) const
+std::size_t MembershipView::suspicionCount(const std::string &server) const
 {
-    const auto alive = incarnation(server);
-    const auto all = m_rumours.withPrefix(RumourKind::Suspicion, server + " ");
-    return static_cast<std::size_t>(std::count_if(
-            all.begin(), all.end(), [&](const auto &entry) { return entry.second >= alive; }));
+    const auto currentIncarnation = incarnation(server);
+    const auto suspicions = m_rumours.withPrefix(RumourKind::Suspicion, server + " ");
+    return static_cast<std::size_t>(
+            std::count_if(suspicions.begin(), suspicions.end(),
+                          [&](const auto &entry) { return entry.second >= currentIncarnation; }));
 }
 
 } // namespace celeryramp
--- a/src/celeryramp/membership/membership_view.h
+++ b/src/celeryramp/membership/membership_view.h
@@ -7,23 +7,25 @@
 
 namespace celeryramp {
 
-/*! @brief State of a member as this node sees it. */
+/*! @brief State of a member according to the rumours known to this node. */
 enum class MemberState {
     Alive,
-    Suspected, /*!< One observer misses it. */
-    Down, /*!< Enough observers miss it. */
-    Leaving /*!< It takes no new work. */
+    Suspected, /*!< One observer suspects its current incarnation. */
+    Down, /*!< At least two observers suspect its current incarnation. */
+    Leaving /*!< It accepts no new requests. */
 };
 
 /*! @return `alive`, `suspected`, `down` or `leaving`. */
 [[nodiscard]] const char *memberStateText(MemberState state) noexcept;
 
 /*!
- * @brief Reads member states out of the rumours.
+ * @brief Derives the states of members from the rumours in a store.
  *
- * A view is a hint about whom to talk to. Users: routing (a wrong view costs a refused attempt,
- * the gate decides), distribution (a wrong view costs a repair), choice of readers (a wrong view
- * costs extra or fewer platform reads for a while).
+ * The view is only a hint about which members to contact, and may be wrong. The cost of a wrong
+ * view depends on its user:
+ * - routing: one refused attempt, since the gate of the server makes the final decision;
+ * - distribution: a repair;
+ * - selection of platform readers: too many or too few reads of the platform for a while.
  */
 class MembershipView
 {
@@ -31,20 +33,23 @@
     /*! @param rumours Store to read from; must outlive the view. */
     explicit MembershipView(const RumourStore &rumours) : m_rumours{rumours} { }
 
-    /*! @return State of a member; `Alive` when nothing is known. */
+    /*! @return State of a member; `Alive` if nothing is known about it. */
     [[nodiscard]] MemberState state(const std::string &server) const;
 
-    /*! @return True when the member is down. */
+    /*! @return True if at least two observers suspect the member's current incarnation. */
     [[nodiscard]] bool isDown(const std::string &server) const;
 
-    /*! @return True when the member leaves, by its own word or the platform's list. */
+    /*!
+     * @return True if the member announced that it leaves and no later incarnation is known, or if
+     * the platform lists it as leaving.
+     */
     [[nodiscard]] bool isLeaving(const std::string &server) const;
 
-    /*! @return Highest incarnation known of a member; 0 when none is. */
+    /*! @return Highest incarnation known of a member, or 0 if none is known. */
     [[nodiscard]] std::uint64_t incarnation(const std::string &server) const;
 
 private:
-    [[nodiscard]] std::size_t suspicions(const std::string &server) const;
+    [[nodiscard]] std::size_t suspicionCount(const std::string &server) const;
 
     const RumourStore &m_rumours;
 };
--- a/test/membership/membership_view.cpp
+++ b/test/membership/membership_view.cpp
@@ -9,63 +9,63 @@
 
 namespace {
 
-Rumour fact(RumourKind kind, const std::string &subject, std::uint64_t sequence)
+Rumour makeRumour(RumourKind kind, const std::string &subject, std::uint64_t sequence)
 {
     return {kind, subject, sequence, 60'000};
 }
 
 } // namespace
 
-TEST_CASE("one observer suspects, two make a member down, the member refutes")
+TEST_CASE("a member is suspected by one observer and down by two until it refutes them")
 {
     RumourStore store;
     const MembershipView view{store};
-    store.apply(fact(RumourKind::Alive, "s", 10), at(0));
+    store.apply(makeRumour(RumourKind::Alive, "s", 10), at(0));
     REQUIRE(view.state("s") == MemberState::Alive);
-    store.apply(fact(RumourKind::Suspicion, "s o1", 10), at(0));
+    store.apply(makeRumour(RumourKind::Suspicion, "s o1", 10), at(0));
     REQUIRE(view.state("s") == MemberState::Suspected);
     REQUIRE_FALSE(view.isDown("s"));
-    store.apply(fact(RumourKind::Suspicion, "s o2", 10), at(0));
+    store.apply(makeRumour(RumourKind::Suspicion, "s o2", 10), at(0));
     REQUIRE(view.state("s") == MemberState::Down);
-    store.apply(fact(RumourKind::Alive, "s", 11), at(0));
+    store.apply(makeRumour(RumourKind::Alive, "s", 11), at(0));
     REQUIRE(view.state("s") == MemberState::Alive);
 }
 
-TEST_CASE("suspicions of a predecessor do not count against the successor")
+TEST_CASE("suspicions of an earlier incarnation do not apply to a later one")
 {
     RumourStore store;
     const MembershipView view{store};
-    store.apply(fact(RumourKind::Alive, "s", 20), at(0));
-    store.apply(fact(RumourKind::Suspicion, "s o1", 10), at(0));
-    store.apply(fact(RumourKind::Suspicion, "s o2", 10), at(0));
+    store.apply(makeRumour(RumourKind::Alive, "s", 20), at(0));
+    store.apply(makeRumour(RumourKind::Suspicion, "s o1", 10), at(0));
+    store.apply(makeRumour(RumourKind::Suspicion, "s o2", 10), at(0));
     REQUIRE(view.state("s") == MemberState::Alive);
 }
 
-TEST_CASE("leaving is said by the leaver or listed by the platform")
+TEST_CASE("a member leaves when it announces this or the platform lists it as leaving")
 {
     RumourStore store;
     const MembershipView view{store};
-    store.apply(fact(RumourKind::Leaving, "s", 10), at(0));
+    store.apply(makeRumour(RumourKind::Leaving, "s", 10), at(0));
     REQUIRE(view.isLeaving("s"));
-    store.apply(fact(RumourKind::Alive, "s", 11), at(0));
+    store.apply(makeRumour(RumourKind::Alive, "s", 11), at(0));
     REQUIRE_FALSE(view.isLeaving("s"));
-    store.apply(fact(RumourKind::ListedLeaving, "s", 5), at(0));
+    store.apply(makeRumour(RumourKind::ListedLeaving, "s", 5), at(0));
     REQUIRE(view.isLeaving("s"));
-    store.apply(fact(RumourKind::ListedLive, "s", 6), at(0));
+    store.apply(makeRumour(RumourKind::ListedLive, "s", 6), at(0));
     REQUIRE_FALSE(view.isLeaving("s"));
 }
 
-TEST_CASE("names that are prefixes of others are kept apart")
+TEST_CASE("suspicions of a server do not apply to a server whose name is a prefix")
 {
     RumourStore store;
     const MembershipView view{store};
-    store.apply(fact(RumourKind::Suspicion, "s10 o1", 1), at(0));
-    store.apply(fact(RumourKind::Suspicion, "s10 o2", 1), at(0));
+    store.apply(makeRumour(RumourKind::Suspicion, "s10 o1", 1), at(0));
+    store.apply(makeRumour(RumourKind::Suspicion, "s10 o2", 1), at(0));
     REQUIRE(view.isDown("s10"));
     REQUIRE_FALSE(view.isDown("s1"));
 }
 
-TEST_CASE("silence is reported once, and not for the time of an own pause")
+TEST_CASE("a missing member is reported once and timeouts restart after a pause")
 {
     FailureDetector detector;
     detector.heard("s", 1, at(0));
