--- a/src/celeryramp/membership/rumour_store.cpp
+++ b/src/celeryramp/membership/rumour_store.cpp
@@ -8,21 +8,21 @@
 
 namespace internal {
 
-constexpr std::size_t kMaxFacts = 65536;
-constexpr Millis kMaxLife{3'600'000};
+constexpr std::size_t kMaxEntries = 65536;
+constexpr Millis kMaxTtl{3'600'000}; // one hour
 
 } // namespace internal
 
 bool RumourStore::apply(const Rumour &rumour, TimePoint now)
 {
     const Key key{rumour.kind, rumour.subject};
-    const auto life = std::min<Millis>(Millis{rumour.ttlMs}, internal::kMaxLife);
-    const auto it = m_facts.find(key);
-    if (it == m_facts.end()) {
-        if (m_facts.size() >= internal::kMaxFacts || life.count() == 0) {
+    const auto ttl = std::min<Millis>(Millis{rumour.ttlMs}, internal::kMaxTtl);
+    const auto it = m_entries.find(key);
+    if (it == m_entries.end()) {
+        if (m_entries.size() >= internal::kMaxEntries || ttl.count() == 0) {
             return false;
         }
-        m_facts.emplace(key, Fact{rumour.sequence, now + life});
+        m_entries.emplace(key, Entry{rumour.sequence, now + ttl});
         m_digest ^= hashOf(key, rumour.sequence);
         return true;
     }
@@ -30,39 +30,39 @@
         return false;
     }
     m_digest ^= hashOf(key, it->second.sequence) ^ hashOf(key, rumour.sequence);
-    it->second = {rumour.sequence, now + life};
+    it->second = {rumour.sequence, now + ttl};
     return true;
 }
 
 void RumourStore::expire(TimePoint now)
 {
-    for (auto it = m_facts.begin(); it != m_facts.end();) {
+    for (auto it = m_entries.begin(); it != m_entries.end();) {
         if (it->second.expiresAt > now) {
             ++it;
             continue;
         }
         m_digest ^= hashOf(it->first, it->second.sequence);
-        it = m_facts.erase(it);
+        it = m_entries.erase(it);
     }
 }
 
 std::optional<std::uint64_t> RumourStore::sequence(RumourKind kind,
                                                    const std::string &subject) const
 {
-    const auto it = m_facts.find({kind, subject});
-    return it == m_facts.end() ? std::nullopt : std::optional{it->second.sequence};
+    const auto it = m_entries.find({kind, subject});
+    return it == m_entries.end() ? std::nullopt : std::optional{it->second.sequence};
 }
 
 std::vector<std::pair<std::string, std::uint64_t>>
 RumourStore::withPrefix(RumourKind kind, const std::string &prefix) const
 {
     std::vector<std::pair<std::string, std::uint64_t>> found;
-    for (auto it = m_facts.lower_bound({kind, prefix}); it != m_facts.end(); ++it) {
-        const auto &[key, fact] = *it;
+    for (auto it = m_entries.lower_bound({kind, prefix}); it != m_entries.end(); ++it) {
+        const auto &[key, entry] = *it;
         if (key.first != kind || key.second.compare(0, prefix.size(), prefix) != 0) {
             break;
         }
-        found.emplace_back(key.second, fact.sequence);
+        found.emplace_back(key.second, entry.sequence);
     }
     return found;
 }
@@ -70,12 +70,12 @@
 std::vector<Rumour> RumourStore::all(TimePoint now) const
 {
     std::vector<Rumour> rumours;
-    rumours.reserve(m_facts.size());
-    for (const auto &[key, fact] : m_facts) {
-        const auto left = millisBetween(now, fact.expiresAt).count();
-        if (left > 0) {
+    rumours.reserve(m_entries.size());
+    for (const auto &[key, entry] : m_entries) {
+        const auto remaining = millisBetween(now, entry.expiresAt).count();
+        if (remaining > 0) {
             rumours.push_back(
-                    {key.first, key.second, fact.sequence, static_cast<std::uint32_t>(left)});
+                    {key.first, key.second, entry.sequence, static_cast<std::uint32_t>(remaining)});
         }
     }
     return rumours;
--- a/src/celeryramp/membership/rumour_store.h
+++ b/src/celeryramp/membership/rumour_store.h
@@ -13,41 +13,45 @@
 namespace celeryramp {
 
 /*!
- * @brief Small facts with a highest sequence and a limited life, equal on all nodes in the end.
- * Merging is commutative and idempotent, so order and repetition of messages do not matter.
+ * @brief Stores the rumour with the highest sequence per kind and subject until its TTL expires.
+ *
+ * The stores of all nodes are eventually consistent: merging is commutative and idempotent, so
+ * messages may be reordered or repeated.
  */
 class RumourStore
 {
 public:
     /*!
-     * @brief Takes a fact in.
-     * @return True when it was new: unknown before, or with a higher sequence.
+     * @brief Merges a rumour into the store. Its TTL is limited to one hour.
+     * @return True if the rumour was unknown or has a higher sequence than the stored one. False
+     * otherwise, and for an unknown rumour whose TTL is zero or that exceeds the limit of 65536
+     * entries.
      */
     bool apply(const Rumour &rumour, TimePoint now);
 
-    /*! @brief Forgets facts whose life has ended. */
+    /*! @brief Removes rumours whose TTL has expired. */
     void expire(TimePoint now);
 
-    /*! @return Sequence of a fact, or nothing when unknown. */
+    /*! @return Sequence of a rumour, or `std::nullopt` if it is unknown. */
     [[nodiscard]] std::optional<std::uint64_t> sequence(RumourKind kind,
                                                         const std::string &subject) const;
 
-    /*! @return All facts of one kind whose subject starts with the prefix, with sequences. */
+    /*! @return Subject and sequence of all rumours of a kind whose subject has the prefix. */
     [[nodiscard]] std::vector<std::pair<std::string, std::uint64_t>>
     withPrefix(RumourKind kind, const std::string &prefix) const;
 
-    /*! @return All facts with their remaining life. */
+    /*! @return All rumours that have not expired, with their remaining TTL in milliseconds. */
     [[nodiscard]] std::vector<Rumour> all(TimePoint now) const;
 
-    /*! @return Digest over all facts, equal for equal stores. */
+    /*! @return Digest over all rumours without their TTLs; equal for equal contents. */
     [[nodiscard]] std::uint64_t digest() const noexcept { return m_digest; }
 
-    /*! @return Number of facts. */
-    [[nodiscard]] std::size_t size() const noexcept { return m_facts.size(); }
+    /*! @return Number of rumours. */
+    [[nodiscard]] std::size_t size() const noexcept { return m_entries.size(); }
 
 private:
     using Key = std::pair<RumourKind, std::string>;
-    struct Fact
+    struct Entry
     {
         std::uint64_t sequence = 0;
         TimePoint expiresAt;
@@ -55,7 +59,7 @@
 
     [[nodiscard]] static std::uint64_t hashOf(const Key &key, std::uint64_t sequence);
 
-    std::map<Key, Fact> m_facts;
+    std::map<Key, Entry> m_entries;
     std::uint64_t m_digest = 0;
 };
 
--- a/test/membership/rumour_store.cpp
+++ b/test/membership/rumour_store.cpp
@@ -9,7 +9,7 @@
 using namespace celeryramp;
 using testsupport::at;
 
-TEST_CASE("the highest sequence wins and facts end")
+TEST_CASE("the highest sequence wins and rumours expire")
 {
     RumourStore store;
     REQUIRE(store.apply({RumourKind::Alive, "s", 2, 1000}, at(0)));
@@ -21,25 +21,25 @@
     REQUIRE(store.digest() == RumourStore{}.digest());
 }
 
-TEST_CASE("stores that got the same facts in any order agree")
+TEST_CASE("stores with the same rumours in any order have equal digests")
 {
-    REQUIRE(rc::check("merge commutes", [] {
-        auto facts = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(rc::gen::tuple(
+    REQUIRE(rc::check("merging is commutative and idempotent", [] {
+        auto rumours = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(rc::gen::tuple(
                 rc::gen::inRange(0, 6), rc::gen::inRange(0, 4), rc::gen::inRange(1, 5)));
-        RumourStore one;
-        RumourStore two;
-        const auto apply = [](RumourStore &store, const auto &facts2) {
-            for (const auto &[kind, subject, sequence] : facts2) {
+        RumourStore forward;
+        RumourStore reversed;
+        const auto apply = [](RumourStore &store, const auto &batch) {
+            for (const auto &[kind, subject, sequence] : batch) {
                 store.apply({static_cast<RumourKind>(kind), std::to_string(subject),
                              static_cast<std::uint64_t>(sequence), 1000},
                             at(0));
             }
         };
-        apply(one, facts);
-        std::reverse(facts.begin(), facts.end());
-        apply(two, facts);
-        apply(two, facts);
-        RC_ASSERT(one.digest() == two.digest());
-        RC_ASSERT(one.size() == two.size());
+        apply(forward, rumours);
+        std::reverse(rumours.begin(), rumours.end());
+        apply(reversed, rumours);
+        apply(reversed, rumours);
+        RC_ASSERT(forward.digest() == reversed.digest());
+        RC_ASSERT(forward.size() == reversed.size());
     }));
 }
