--- a/src/celeryramp/membership/topology.cpp
+++ b/src/celeryramp/membership/topology.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kTreeFanOut = 4;
 constexpr std::size_t kReadersPerZone = 2;
-const std::string kNoZone;
+const std::string kUndeclaredZone;
 
 } // namespace internal
 
@@ -26,15 +26,15 @@
                     < std::make_tuple(stableHash(b), std::cref(b));
         });
         for (std::size_t i = 0; i < ring.size(); ++i) {
-            m_places[ring[i]] = {zone, i};
+            m_positions[ring[i]] = {zone, i};
         }
     }
 }
 
 const std::string &Topology::zoneOf(const std::string &server) const
 {
-    const auto it = m_places.find(server);
-    return it == m_places.end() ? internal::kNoZone : it->second.first;
+    const auto it = m_positions.find(server);
+    return it == m_positions.end() ? internal::kUndeclaredZone : it->second.first;
 }
 
 std::vector<std::string> Topology::zones() const
@@ -54,72 +54,73 @@
                                : gsl::span<const std::string>{it->second};
 }
 
-std::size_t Topology::rank(const std::string &server) const
+std::size_t Topology::ringPosition(const std::string &server) const
 {
-    return m_places.at(server).second;
+    return m_positions.at(server).second;
 }
 
 std::vector<std::string> Topology::successors(const std::string &server, std::size_t count,
                                               const IsUsable &isUsable) const
 {
-    std::vector<std::string> found;
+    std::vector<std::string> result;
     const auto members = ring(zoneOf(server));
     if (members.empty()) {
-        return found;
+        return result;
     }
-    const auto start = rank(server);
-    for (std::size_t i = 1; i < members.size() && found.size() < count; ++i) {
+    const auto start = ringPosition(server);
+    for (std::size_t i = 1; i < members.size() && result.size() < count; ++i) {
         const auto &candidate = members[(start + i) % members.size()];
         if (isUsable(candidate)) {
-            found.push_back(candidate);
+            result.push_back(candidate);
         }
     }
-    return found;
+    return result;
 }
 
 std::vector<std::string> Topology::children(const std::string &root, const std::string &server,
                                             const IsUsable &isUsable) const
 {
-    std::vector<std::string> found;
+    std::vector<std::string> result;
     const auto &zone = zoneOf(server);
     if (zone.empty() || zoneOf(root) != zone) {
-        return found;
+        return result;
     }
     const auto members = ring(zone);
-    const auto n = members.size();
-    const auto start = rank(root);
-    std::vector<std::size_t> open{(rank(server) + n - start) % n};
-    while (!open.empty()) {
-        const auto parent = open.back();
-        open.pop_back();
+    // The tree is laid out like a heap: the ring, starting at the root, is its array of nodes.
+    const auto memberCount = members.size();
+    const auto start = ringPosition(root);
+    std::vector<std::size_t> pending{(ringPosition(server) + memberCount - start) % memberCount};
+    while (!pending.empty()) {
+        const auto parent = pending.back();
+        pending.pop_back();
         for (std::size_t i = 1; i <= internal::kTreeFanOut; ++i) {
             const auto position = parent * internal::kTreeFanOut + i;
-            if (position >= n) {
+            if (position >= memberCount) {
                 break;
             }
-            const auto &child = members[(start + position) % n];
+            const auto &child = members[(start + position) % memberCount];
             if (isUsable(child)) {
-                found.push_back(child);
+                result.push_back(child);
             } else {
-                open.push_back(position);
+                pending.push_back(position);
             }
         }
     }
-    return found;
+    return result;
 }
 
 std::vector<std::string> Topology::readers(const std::string &zone, const IsUsable &isUsable) const
 {
-    std::vector<std::string> found;
+    std::vector<std::string> result;
     for (const auto &member : ring(zone)) {
-        if (found.size() == internal::kReadersPerZone) {
+        if (result.size() == internal::kReadersPerZone) {
             break;
         }
         if (isUsable(member)) {
-            found.push_back(member);
+            result.push_back(member);
         }
     }
-    return found;
+    return result;
 }
 
 } // namespace celeryramp
--- a/src/celeryramp/membership/topology.h
+++ b/src/celeryramp/membership/topology.h
@@ -11,54 +11,56 @@
 
 namespace celeryramp {
 
-/*! @brief Says whether a member can be talked to, as far as the asker knows. */
+/*! @brief Tells whether the caller considers a member reachable. */
 using IsUsable = std::function<bool(const std::string &server)>;
 
 /*!
- * @brief Places of the declared servers in each zone: ring, trees and readers.
+ * @brief Arranges the declared servers of each zone in a ring, in trees and as platform readers.
  *
- * Each node computes the same places from the same configuration. Views of who is down may differ
- * between nodes: then an announcement misses some nodes or reaches some twice, which the heartbeat
- * digests repair; no promise depends on it.
+ * Every node computes the same topology from the same configuration. Nodes may disagree about which
+ * members are down. An announcement then misses some nodes or reaches some twice. The digests in
+ * heartbeats reveal and repair this, and no guarantee depends on it.
  */
 class Topology
 {
 public:
-    /*! @brief A topology without members. */
+    /*! @brief Constructs a topology without members. */
     Topology() = default;
 
-    /*! @param snapshot Configuration whose servers take part. */
+    /*! @param snapshot Configuration that declares the servers. */
     explicit Topology(const Snapshot &snapshot);
 
-    /*! @return Zone of a server, or empty when it is not declared. */
+    /*! @return Zone of a server, or an empty string if the server is not declared. */
     [[nodiscard]] const std::string &zoneOf(const std::string &server) const;
 
-    /*! @return All zones with servers. */
+    /*! @return Names of all zones that contain servers. */
     [[nodiscard]] std::vector<std::string> zones() const;
 
-    /*! @return Servers of a zone in ring order. */
+    /*! @return Servers of a zone in ring order, which is the order of their hashes. */
     [[nodiscard]] gsl::span<const std::string> ring(const std::string &zone) const;
 
-    /*! @return The first `count` usable servers after `server` on the ring of its zone. */
+    /*! @return Up to `count` usable servers that follow `server` on the ring of its zone. */
     [[nodiscard]] std::vector<std::string> successors(const std::string &server, std::size_t count,
                                                       const IsUsable &isUsable) const;
 
     /*!
      * @brief Children of `server` in the tree of its zone rooted at `root`.
-     * The children of an unusable child are adopted.
+     * An unusable child is replaced by its own children, recursively.
+     * @return Usable children; none if `server` is not declared or `root` is in another zone.
      */
     [[nodiscard]] std::vector<std::string>
     children(const std::string &root, const std::string &server, const IsUsable &isUsable) const;
 
-    /*! @return The servers of a zone that read the platform: the first usable ones by hash. */
+    /*! @return Servers of a zone that read the platform: its first two usable servers in ring
+     * order. */
     [[nodiscard]] std::vector<std::string> readers(const std::string &zone,
                                                    const IsUsable &isUsable) const;
 
 private:
-    [[nodiscard]] std::size_t rank(const std::string &server) const;
+    [[nodiscard]] std::size_t ringPosition(const std::string &server) const;
 
     std::map<std::string, std::vector<std::string>> m_rings;
-    std::map<std::string, std::pair<std::string, std::size_t>> m_places;
+    std::map<std::string, std::pair<std::string, std::size_t>> m_positions;
 };
 
 } // namespace celeryramp
--- a/test/membership/topology.cpp
+++ b/test/membership/topology.cpp
@@ -15,39 +15,40 @@
     return Topology{*testsupport::sampleSnapshot(1, {2, servers, 100.0, 50.0})};
 }
 
-/*! All servers that an announcement from the root reaches. */
-std::set<std::string> reached(const Topology &topology, const std::string &root,
-                              const IsUsable &isUsable, int &most)
+/*! Returns the servers that an announcement from the root reaches. Raises `maxChildren` to the
+ *  largest number of children of any of them. */
+std::set<std::string> reachedServers(const Topology &topology, const std::string &root,
+                                     const IsUsable &isUsable, int &maxChildren)
 {
-    std::set<std::string> seen{root};
-    std::vector<std::string> open{root};
-    while (!open.empty()) {
-        const auto server = open.back();
-        open.pop_back();
+    std::set<std::string> reached{root};
+    std::vector<std::string> pending{root};
+    while (!pending.empty()) {
+        const auto server = pending.back();
+        pending.pop_back();
         const auto children = topology.children(root, server, isUsable);
-        most = std::max(most, static_cast<int>(children.size()));
+        maxChildren = std::max(maxChildren, static_cast<int>(children.size()));
         for (const auto &child : children) {
-            REQUIRE(seen.insert(child).second); // nobody is told twice
-            open.push_back(child);
+            REQUIRE(reached.insert(child).second); // no server is reached twice
+            pending.push_back(child);
         }
     }
-    return seen;
+    return reached;
 }
 
 } // namespace
 
-TEST_CASE("a tree from any root reaches its whole zone once, with few children each")
+TEST_CASE("a tree from any root reaches its whole zone once with at most four children each")
 {
     const auto topology = topologyOf(37);
     const auto usable = [](const std::string &) { return true; };
     for (const auto &root : topology.ring("z0")) {
-        int most = 0;
-        REQUIRE(reached(topology, root, usable, most).size() == 37);
-        REQUIRE(most <= 4);
+        int maxChildren = 0;
+        REQUIRE(reachedServers(topology, root, usable, maxChildren).size() == 37);
+        REQUIRE(maxChildren <= 4);
     }
 }
 
-TEST_CASE("children of members that are down are adopted")
+TEST_CASE("children of unusable members are attached to the nearest usable ancestor")
 {
     REQUIRE(rc::check("any set of members down", [] {
         const auto topology = topologyOf(23);
@@ -62,13 +63,13 @@
         for (const auto &server : ring) {
             root = isDown(server) ? root : server;
         }
-        int most = 0;
+        int maxChildren = 0;
         const auto usable = [&](const std::string &server) { return !isDown(server); };
-        RC_ASSERT(reached(topology, root, usable, most).size() == 23U - down.size());
+        RC_ASSERT(reachedServers(topology, root, usable, maxChildren).size() == 23U - down.size());
     }));
 }
 
-TEST_CASE("readers are the first usable members, the same for all")
+TEST_CASE("the platform readers are the first usable members of the ring")
 {
     const auto topology = topologyOf(5);
     const auto all = topology.readers("z0", [](const std::string &) { return true; });
