--- a/src/celeryramp/membership/failure_detector.cpp
+++ b/src/celeryramp/membership/failure_detector.cpp
@@ -4,7 +4,8 @@
 
 namespace celeryramp {
 
-void FailureDetector::heard(const std::string &server, std::uint64_t incarnation, TimePoint now)
+void FailureDetector::recordHeartbeat(const std::string &server, std::uint64_t incarnation,
+                                      TimePoint now)
 {
     auto &member = m_members[server];
     member.incarnation = std::max(member.incarnation, incarnation);
--- a/src/celeryramp/membership/failure_detector.h
+++ b/src/celeryramp/membership/failure_detector.h
@@ -31,7 +31,7 @@
 {
 public:
     /*! @brief Records a heartbeat and starts to monitor the member if necessary. */
-    void heard(const std::string &server, std::uint64_t incarnation, TimePoint now);
+    void recordHeartbeat(const std::string &server, std::uint64_t incarnation, TimePoint now);
 
     /*!
      * @brief Records that a member's host refused a connection because no process listens there.
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_duty.cpp
@@ -248,7 +248,7 @@
                                  true});
         return;
     }
-    m_detector.heard(message.server, message.incarnation, now);
+    m_detector.recordHeartbeat(message.server, message.incarnation, now);
     m_distributor.onHeartbeat(message, now, m_out);
     m_rumours.onHeartbeat(message, now, m_out);
 }
--- a/test/membership/membership_view.cpp
+++ b/test/membership/membership_view.cpp
@@ -68,13 +68,13 @@
 TEST_CASE("a missing member is reported once and timeouts restart after a pause")
 {
     FailureDetector detector;
-    detector.heard("s", 1, at(0));
+    detector.recordHeartbeat("s", 1, at(0));
     REQUIRE(detector.poll(at(kSuspicionTimeout.count() - 1)).empty());
     detector.forgive(at(kSuspicionTimeout.count()));
     REQUIRE(detector.poll(at(kSuspicionTimeout.count() + 1)).empty());
     REQUIRE(detector.poll(at(2 * kSuspicionTimeout.count())).size() == 1);
     REQUIRE(detector.poll(at(3 * kSuspicionTimeout.count())).empty());
-    detector.heard("s", 1, at(4 * kSuspicionTimeout.count()));
+    detector.recordHeartbeat("s", 1, at(4 * kSuspicionTimeout.count()));
     detector.refused("s");
     REQUIRE(detector.poll(at(4 * kSuspicionTimeout.count())).size() == 1);
     REQUIRE(detector.poll(at(9 * kSuspicionTimeout.count())).empty());
