--- a/src/celeryramp/membership/failure_detector.cpp
+++ b/src/celeryramp/membership/failure_detector.cpp
@@ -14,7 +14,7 @@
     member.reported = false;
 }
 
-void FailureDetector::refused(const std::string &server)
+void FailureDetector::recordConnectionRefused(const std::string &server)
 {
     if (const auto it = m_members.find(server); it != m_members.end()) {
         it->second.connectionRefused = true;
--- a/src/celeryramp/membership/failure_detector.h
+++ b/src/celeryramp/membership/failure_detector.h
@@ -37,7 +37,7 @@
      * @brief Records that a member's host refused a connection because no process listens there.
      * Has no effect if the member is not monitored.
      */
-    void refused(const std::string &server);
+    void recordConnectionRefused(const std::string &server);
 
     /*!
      * @brief Restarts the timeouts of all members after a pause of this process.
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_duty.cpp
@@ -174,7 +174,7 @@
 void ControlDuty::handle(const PeerLostEvent &event, TimePoint /*now*/)
 {
     if (event.refused) {
-        m_detector.refused(event.name);
+        m_detector.recordConnectionRefused(event.name);
         return;
     }
     // Whoever closed: a heartbeat out of turn finds out whether somebody still listens there.
--- a/test/membership/membership_view.cpp
+++ b/test/membership/membership_view.cpp
@@ -75,7 +75,7 @@
     REQUIRE(detector.poll(at(2 * kSuspicionTimeout.count())).size() == 1);
     REQUIRE(detector.poll(at(3 * kSuspicionTimeout.count())).empty());
     detector.recordHeartbeat("s", 1, at(4 * kSuspicionTimeout.count()));
-    detector.refused("s");
+    detector.recordConnectionRefused("s");
     REQUIRE(detector.poll(at(4 * kSuspicionTimeout.count())).size() == 1);
     REQUIRE(detector.poll(at(9 * kSuspicionTimeout.count())).empty());
 }
