--- a/src/celeryramp/membership/failure_detector.cpp
+++ b/src/celeryramp/membership/failure_detector.cpp
@@ -21,7 +21,7 @@
     }
 }
 
-void FailureDetector::forgive(TimePoint now)
+void FailureDetector::restartTimeouts(TimePoint now)
 {
     for (auto &[server, member] : m_members) {
         member.lastHeartbeat = now;
--- a/src/celeryramp/membership/failure_detector.h
+++ b/src/celeryramp/membership/failure_detector.h
@@ -43,7 +43,7 @@
      * @brief Restarts the timeouts of all members after a pause of this process.
      * Heartbeats sent during the pause could not be received, so their absence proves nothing.
      */
-    void forgive(TimePoint now);
+    void restartTimeouts(TimePoint now);
 
     /*! @brief Stops monitoring a member that sends its heartbeats to other observers. */
     void forget(const std::string &server);
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_duty.cpp
@@ -411,7 +411,7 @@
 void ControlDuty::notePause(Millis pause, TimePoint now)
 {
     m_pauses.add();
-    m_detector.forgive(now);
+    m_detector.restartTimeouts(now);
     m_hooks.onPaused(pause, now);
     logEvent(LogLevel::Warn, "control", "paused", {{"ms", std::to_string(pause.count())}});
     m_lastTick = now;
--- a/test/membership/membership_view.cpp
+++ b/test/membership/membership_view.cpp
@@ -70,7 +70,7 @@
     FailureDetector detector;
     detector.recordHeartbeat("s", 1, at(0));
     REQUIRE(detector.poll(at(kSuspicionTimeout.count() - 1)).empty());
-    detector.forgive(at(kSuspicionTimeout.count()));
+    detector.restartTimeouts(at(kSuspicionTimeout.count()));
     REQUIRE(detector.poll(at(kSuspicionTimeout.count() + 1)).empty());
     REQUIRE(detector.poll(at(2 * kSuspicionTimeout.count())).size() == 1);
     REQUIRE(detector.poll(at(3 * kSuspicionTimeout.count())).empty());
