--- a/src/celeryramp/membership/failure_detector.cpp
+++ b/src/celeryramp/membership/failure_detector.cpp
@@ -28,7 +28,7 @@
     }
 }
 
-void FailureDetector::forget(const std::string &server)
+void FailureDetector::stopMonitoring(const std::string &server)
 {
     m_members.erase(server);
 }
--- a/src/celeryramp/membership/failure_detector.h
+++ b/src/celeryramp/membership/failure_detector.h
@@ -46,7 +46,7 @@
     void restartTimeouts(TimePoint now);
 
     /*! @brief Stops monitoring a member that sends its heartbeats to other observers. */
-    void forget(const std::string &server);
+    void stopMonitoring(const std::string &server);
 
     /*! @return Highest incarnation received from a member, or 0 if it is not monitored. */
     [[nodiscard]] std::uint64_t incarnationOf(const std::string &server) const;
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_duty.cpp
@@ -325,7 +325,7 @@
         const auto observers = m_distributor.topology().successors(missing.server,
                                                                    internal::kObservers, usable());
         if (std::find(observers.begin(), observers.end(), m_settings.server) == observers.end()) {
-            m_detector.forget(missing.server); // it reports to others now
+            m_detector.stopMonitoring(missing.server); // it reports to others now
             continue;
         }
         m_suspicions.add();
