--- a/src/celeryramp/membership/failure_detector.cpp
+++ b/src/celeryramp/membership/failure_detector.cpp
@@ -39,9 +39,9 @@
     return it == m_members.end() ? 0 : it->second.incarnation;
 }
 
-std::vector<Missing> FailureDetector::poll(TimePoint now)
+std::vector<MissingMember> FailureDetector::poll(TimePoint now)
 {
-    std::vector<Missing> missing;
+    std::vector<MissingMember> missing;
     for (auto &[server, member] : m_members) {
         const bool silent = now - member.lastHeartbeat >= kSuspicionTimeout;
         if (!member.reported && (silent || member.connectionRefused)) {
--- a/src/celeryramp/membership/failure_detector.h
+++ b/src/celeryramp/membership/failure_detector.h
@@ -15,7 +15,7 @@
 inline constexpr Millis kSuspicionTimeout{3 * kHeartbeatInterval};
 
 /*! @brief A member that this node suspects to have failed. */
-struct Missing
+struct MissingMember
 {
     std::string server;
     std::uint64_t incarnation = 0; /*!< Highest incarnation received in its heartbeats. */
@@ -55,7 +55,7 @@
      * @return Members that are missing and not reported yet. A member is reported again only after
      * a new heartbeat and another failure.
      */
-    [[nodiscard]] std::vector<Missing> poll(TimePoint now);
+    [[nodiscard]] std::vector<MissingMember> poll(TimePoint now);
 
 private:
     struct MonitoredMember
