--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -330,7 +330,7 @@
                   {"account", call.frame.account},
                   {"version", std::to_string(call.view->routing->version())},
                   {"server", call.frame.serverId},
-                  {"asks", std::to_string(call.course.asks())},
+                  {"asks", std::to_string(call.course.offers())},
                   {"arrivals", std::to_string(call.course.arrivals())},
                   {"expected_ms", std::to_string(call.course.expected().count())},
                   {"took_late", call.course.takesLate() ? "1" : "0"},
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -91,7 +91,7 @@
     /*! @return Id of the server whose gate has yet to reply; empty if there is none. */
     [[nodiscard]] const std::string &askedServer() const noexcept { return m_pendingServer; }
     /*! @return Number of gates that the call was offered to. */
-    [[nodiscard]] int asks() const noexcept { return m_offers; }
+    [[nodiscard]] int offers() const noexcept { return m_offers; }
     /*! @return Number of attempts that reached a server. */
     [[nodiscard]] int arrivals() const noexcept { return m_attempts; }
     [[nodiscard]] Millis retryAfter() const noexcept { return m_retryAfter; }
