--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -331,7 +331,7 @@
                   {"version", std::to_string(call.view->routing->version())},
                   {"server", call.frame.serverId},
                   {"asks", std::to_string(call.course.offers())},
-                  {"arrivals", std::to_string(call.course.arrivals())},
+                  {"arrivals", std::to_string(call.course.attempts())},
                   {"expected_ms", std::to_string(call.course.expected().count())},
                   {"took_late", call.course.takesLate() ? "1" : "0"},
                   {"may_spill", call.course.terms().maySpill ? "1" : "0"},
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -93,7 +93,7 @@
     /*! @return Number of gates that the call was offered to. */
     [[nodiscard]] int offers() const noexcept { return m_offers; }
     /*! @return Number of attempts that reached a server. */
-    [[nodiscard]] int arrivals() const noexcept { return m_attempts; }
+    [[nodiscard]] int attempts() const noexcept { return m_attempts; }
     [[nodiscard]] Millis retryAfter() const noexcept { return m_retryAfter; }
     /*! @return Likely latency of the last chosen server, see `Choice`. */
     [[nodiscard]] Millis expected() const noexcept { return m_likelyLatency; }
--- a/test/proxy/call_course.cpp
+++ b/test/proxy/call_course.cpp
@@ -107,7 +107,7 @@
     REQUIRE(first.server->id != second.server->id);
     const auto end = std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart));
     REQUIRE(end.status == 502);
-    REQUIRE(course.arrivals() == 2);
+    REQUIRE(course.attempts() == 2);
 }
 
 TEST_CASE("A call that may have run is not reported as not run after a refusal by another server")
@@ -127,7 +127,7 @@
     static_cast<void>(course.begin(service.tools(), kStart));
     REQUIRE(std::holds_alternative<AskStep>(
             course.onReply(refusal(Reason::Draining), service.tools(), kStart)));
-    REQUIRE(course.arrivals() == 0);
+    REQUIRE(course.attempts() == 0);
     const auto end = course.onReply(refusal(Reason::Shed, true), service.tools(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 503);
     REQUIRE(std::get<GiveUpStep>(end).retryAfter);
