--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -285,7 +285,7 @@
 void RequestDispatcher::onGateReply(std::uint64_t id, const proxy::ReplyFrame &reply, TimePoint now)
 {
     const auto it = m_calls.find(id);
-    if (it == m_calls.end() || it->second.course.askedServer().empty()) {
+    if (it == m_calls.end() || it->second.course.pendingServer().empty()) {
         return;
     }
     auto &call = it->second;
@@ -346,7 +346,7 @@
 
 void RequestDispatcher::cancelAtGate(Call &call, TimePoint now)
 {
-    if (call.course.askedServer().empty()) {
+    if (call.course.pendingServer().empty()) {
         return;
     }
     if (call.peer.host.empty()) {
@@ -387,7 +387,7 @@
     m_dependencies.metrics.counter("requests_total{outcome=\"cancelled\"}").add();
     logEvent(LogLevel::Info, "desk", "request-cancelled",
              {{"request", call.frame.requestId},
-              {"server", call.course.askedServer()},
+              {"server", call.course.pendingServer()},
               {"spent_ms", std::to_string(millisBetween(call.arrivedAt, now).count())}});
     cancelAtGate(call, now);
     call.course.onCallerLeft(courseTools());
@@ -399,7 +399,7 @@
     m_leavingNodes.erase(peer.host);
     std::vector<std::uint64_t> ids;
     for (const auto &[id, call] : m_calls) {
-        if (!call.course.askedServer().empty() && call.peer == peer) {
+        if (!call.course.pendingServer().empty() && call.peer == peer) {
             ids.push_back(id);
         }
     }
@@ -420,7 +420,7 @@
 bool RequestDispatcher::isAwaiting(const Address &peer) const
 {
     return std::any_of(m_calls.begin(), m_calls.end(), [&peer](const auto &entry) {
-        return !entry.second.course.askedServer().empty() && entry.second.peer == peer;
+        return !entry.second.course.pendingServer().empty() && entry.second.peer == peer;
     });
 }
 
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -89,7 +89,7 @@
     void onCallerLeft(const CourseTools &tools);
 
     /*! @return Id of the server whose gate has yet to reply; empty if there is none. */
-    [[nodiscard]] const std::string &askedServer() const noexcept { return m_pendingServer; }
+    [[nodiscard]] const std::string &pendingServer() const noexcept { return m_pendingServer; }
     /*! @return Number of gates that the call was offered to. */
     [[nodiscard]] int offers() const noexcept { return m_offers; }
     /*! @return Number of attempts that reached a server. */
