--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -98,7 +98,7 @@
     /*! @return Likely latency of the last chosen server, see `Choice`. */
     [[nodiscard]] Millis expected() const noexcept { return m_likelyLatency; }
     /*! @return True once the call is offered for an answer after its target. */
-    [[nodiscard]] bool takesLate() const noexcept { return m_allowsLate; }
+    [[nodiscard]] bool allowsLate() const noexcept { return m_allowsLate; }
     [[nodiscard]] const CallTerms &terms() const noexcept { return m_terms; }
 
 private:
