--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -332,7 +332,7 @@
                   {"server", call.frame.serverId},
                   {"asks", std::to_string(call.course.offers())},
                   {"arrivals", std::to_string(call.course.attempts())},
-                  {"expected_ms", std::to_string(call.course.expected().count())},
+                  {"expected_ms", std::to_string(call.course.likelyLatency().count())},
                   {"took_late", call.course.allowsLate() ? "1" : "0"},
                   {"may_spill", call.course.terms().maySpill ? "1" : "0"},
                   {"spent_ms", std::to_string(millisBetween(call.arrivedAt, now).count())},
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -96,7 +96,7 @@
     [[nodiscard]] int attempts() const noexcept { return m_attempts; }
     [[nodiscard]] Millis retryAfter() const noexcept { return m_retryAfter; }
     /*! @return Likely latency of the last chosen server, see `Choice`. */
-    [[nodiscard]] Millis expected() const noexcept { return m_likelyLatency; }
+    [[nodiscard]] Millis likelyLatency() const noexcept { return m_likelyLatency; }
     /*! @return True once the call is offered for an answer after its target. */
     [[nodiscard]] bool allowsLate() const noexcept { return m_allowsLate; }
     [[nodiscard]] const CallTerms &terms() const noexcept { return m_terms; }
