--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -198,7 +198,7 @@
 }
 
 std::vector<proxy::Candidate> RequestDispatcher::candidates(const std::string &service,
-                                                            const std::set<std::string> &asked,
+                                                            const std::set<std::string> &excluded,
                                                             TimePoint now) const
 {
     const auto &view = *m_dependencies.replica.view();
@@ -219,13 +219,14 @@
             continue;
         }
         const proxy::Candidate candidate{server, server->zone == m_dependencies.settings.zone,
-                                         asked.count(server->id) > 0};
+                                         excluded.count(server->id) > 0};
         const auto leaving = m_leavingNodes.find(server->address.host);
         const bool isLeaving = leaving != m_leavingNodes.end();
         (isLeaving ? leavingCandidates : preferred).push_back(candidate);
     }
-    const bool areAllAsked = std::all_of(preferred.begin(), preferred.end(),
-                                         [](const auto &candidate) { return candidate.isAsked; });
+    const bool areAllAsked
+            = std::all_of(preferred.begin(), preferred.end(),
+                          [](const auto &candidate) { return candidate.isExcluded; });
     if (areAllAsked) {
         preferred.insert(preferred.end(), leavingCandidates.begin(), leavingCandidates.end());
     }
--- a/src/celeryramp/engine/request_dispatcher.h
+++ b/src/celeryramp/engine/request_dispatcher.h
@@ -100,7 +100,7 @@
     void sendToGate(Call &call, const proxy::AskStep &step, TimePoint now);
     void onGateReply(std::uint64_t id, const proxy::ReplyFrame &reply, TimePoint now);
     [[nodiscard]] std::vector<proxy::Candidate> candidates(const std::string &service,
-                                                           const std::set<std::string> &asked,
+                                                           const std::set<std::string> &excluded,
                                                            TimePoint now) const override;
     /*!
      * @brief Carries out the next step of a call.
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -50,9 +50,9 @@
 {
 public:
     virtual ~CandidateSource() = default;
-    /*! @param asked Ids of the servers to mark with `Candidate::isAsked`. */
+    /*! @param excluded Ids of the servers to mark with `Candidate::isExcluded`. */
     [[nodiscard]] virtual std::vector<Candidate> candidates(const std::string &service,
-                                                            const std::set<std::string> &asked,
+                                                            const std::set<std::string> &excluded,
                                                             TimePoint now) const = 0;
 };
 
--- a/src/celeryramp/proxy/server_picker.cpp
+++ b/src/celeryramp/proxy/server_picker.cpp
@@ -148,7 +148,7 @@
     std::vector<const Entry *> healthy;
     std::vector<const Entry *> others;
     for (const auto &entry : entries) {
-        if (!entry.candidate->isAsked && entry.candidate->isLocalZone == isLocalZone) {
+        if (!entry.candidate->isExcluded && entry.candidate->isLocalZone == isLocalZone) {
             (isHealthy(entry, summary) ? healthy : others).push_back(&entry);
         }
     }
--- a/src/celeryramp/proxy/server_picker.h
+++ b/src/celeryramp/proxy/server_picker.h
@@ -19,7 +19,8 @@
 {
     const directory::BackendServer *server = nullptr;
     bool isLocalZone = false;
-    bool isAsked = false; /*!< Not to be chosen; its state still counts in the averages of all. */
+    bool isExcluded
+            = false; /*!< Not to be chosen; its state still counts in the averages of all. */
 };
 
 /*! @brief Requirements of a call on the server that is chosen for it. */
--- a/test/proxy/call_course.cpp
+++ b/test/proxy/call_course.cpp
@@ -28,11 +28,12 @@
     }
 
     [[nodiscard]] std::vector<Candidate>
-    candidates(const std::string &, const std::set<std::string> &asked, TimePoint) const override
+    candidates(const std::string &, const std::set<std::string> &excluded, TimePoint) const override
     {
         std::vector<Candidate> pool;
         for (const auto &server : m_servers) {
-            pool.push_back({&server, server.id.rfind("near", 0) == 0, asked.count(server.id) > 0});
+            pool.push_back(
+                    {&server, server.id.rfind("near", 0) == 0, excluded.count(server.id) > 0});
         }
         return pool;
     }
