--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -236,7 +236,7 @@
 void RequestDispatcher::executeStep(Call &call, const proxy::CallStep &step,
                                     const proxy::ReplyFrame *reply, TimePoint now)
 {
-    if (const auto *next = std::get_if<proxy::AskStep>(&step)) {
+    if (const auto *next = std::get_if<proxy::OfferStep>(&step)) {
         sendToGate(call, *next, now);
     } else if (const auto *end = std::get_if<proxy::GiveUpStep>(&step)) {
         giveUp(call, *end, now);
@@ -246,7 +246,7 @@
     }
 }
 
-void RequestDispatcher::sendToGate(Call &call, const proxy::AskStep &step, TimePoint now)
+void RequestDispatcher::sendToGate(Call &call, const proxy::OfferStep &step, TimePoint now)
 {
     const auto &server = *step.server;
     call.frame.serverId = server.id;
--- a/src/celeryramp/engine/request_dispatcher.h
+++ b/src/celeryramp/engine/request_dispatcher.h
@@ -97,7 +97,7 @@
     void refuseRequest(const http::CallerConnectionPtr &connection, const std::string &requestId,
                        int status, proxy::Reason reason, std::optional<Millis> retryAfter,
                        const std::string &account = {}, const std::string &detail = {});
-    void sendToGate(Call &call, const proxy::AskStep &step, TimePoint now);
+    void sendToGate(Call &call, const proxy::OfferStep &step, TimePoint now);
     void onGateReply(std::uint64_t id, const proxy::ReplyFrame &reply, TimePoint now);
     [[nodiscard]] std::vector<proxy::Candidate> candidates(const std::string &service,
                                                            const std::set<std::string> &excluded,
--- a/src/celeryramp/proxy/call_course.cpp
+++ b/src/celeryramp/proxy/call_course.cpp
@@ -77,7 +77,7 @@
     m_pendingServer = choice.server->id;
     m_likelyLatency = choice.likelyLatency;
     tools.picker.onSent(m_pendingServer);
-    return AskStep{choice.server, m_allowsLate};
+    return OfferStep{choice.server, m_allowsLate};
 }
 
 CallStep CallCourse::onReply(const ReplyFrame &reply, const CourseTools &tools, TimePoint now)
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -24,7 +24,7 @@
 };
 
 /*! @brief Next step of a call: offer it to the gate of this server. */
-struct AskStep
+struct OfferStep
 {
     const directory::BackendServer *server = nullptr;
     bool mayBeLate = false; /*!< The gate may queue it beyond its target. */
@@ -43,7 +43,7 @@
     std::optional<Millis> retryAfter; /*!< Set only if no server ran the call or will run it. */
 };
 
-using CallStep = std::variant<AskStep, AnswerStep, GiveUpStep>;
+using CallStep = std::variant<OfferStep, AnswerStep, GiveUpStep>;
 
 /*! @brief Provides the servers that a call may be sent to. */
 class CandidateSource
--- a/test/proxy/call_course.cpp
+++ b/test/proxy/call_course.cpp
@@ -84,7 +84,7 @@
 {
     TestService service{"near-1", "near-2"};
     CallCourse course{terms(false)};
-    REQUIRE(std::holds_alternative<AskStep>(course.begin(service.tools(), kStart)));
+    REQUIRE(std::holds_alternative<OfferStep>(course.begin(service.tools(), kStart)));
     const auto step = course.onReply(lost(), service.tools(), kStart + Millis{10});
     REQUIRE(std::get<GiveUpStep>(step).status == 502);
     REQUIRE_FALSE(std::get<GiveUpStep>(step).retryAfter);
@@ -103,8 +103,8 @@
 {
     TestService service{"near-1", "near-2", "near-3"};
     CallCourse course{terms(true, 2)};
-    const auto first = std::get<AskStep>(course.begin(service.tools(), kStart));
-    const auto second = std::get<AskStep>(course.onReply(lost(), service.tools(), kStart));
+    const auto first = std::get<OfferStep>(course.begin(service.tools(), kStart));
+    const auto second = std::get<OfferStep>(course.onReply(lost(), service.tools(), kStart));
     REQUIRE(first.server->id != second.server->id);
     const auto end = std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart));
     REQUIRE(end.status == 502);
@@ -116,7 +116,7 @@
     TestService service{"near-1", "near-2"};
     CallCourse course{terms(true, 3)};
     static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(std::holds_alternative<AskStep>(course.onReply(lost(), service.tools(), kStart)));
+    REQUIRE(std::holds_alternative<OfferStep>(course.onReply(lost(), service.tools(), kStart)));
     const auto end = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 502);
 }
@@ -126,7 +126,7 @@
     TestService service{"near-1", "near-2", "near-3", "far-1"};
     CallCourse course{terms(false, 1)};
     static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(std::holds_alternative<AskStep>(
+    REQUIRE(std::holds_alternative<OfferStep>(
             course.onReply(refusal(Reason::Draining), service.tools(), kStart)));
     REQUIRE(course.attempts() == 0);
     const auto end = course.onReply(refusal(Reason::Shed, true), service.tools(), kStart);
@@ -150,9 +150,9 @@
     CallCourse course{terms()};
     auto step = course.begin(service.tools(), kStart);
     bool hasAskedFar = false;
-    for (int i = 0; i < 6 && std::holds_alternative<AskStep>(step); ++i) {
-        const auto &ask = std::get<AskStep>(step);
-        hasAskedFar = hasAskedFar || ask.server->id == "far-1";
+    for (int i = 0; i < 6 && std::holds_alternative<OfferStep>(step); ++i) {
+        const auto &offer = std::get<OfferStep>(step);
+        hasAskedFar = hasAskedFar || offer.server->id == "far-1";
         auto reply = refusal(Reason::Busy);
         reply.load.waiting = 100;
         step = course.onReply(reply, service.tools(), kStart);
@@ -166,8 +166,8 @@
     CallCourse course{terms()};
     auto step = course.begin(service.tools(), kStart);
     int late = 0;
-    while (std::holds_alternative<AskStep>(step)) {
-        late += std::get<AskStep>(step).mayBeLate ? 1 : 0;
+    while (std::holds_alternative<OfferStep>(step)) {
+        late += std::get<OfferStep>(step).mayBeLate ? 1 : 0;
         step = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
     }
     REQUIRE(late == 4);
