--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -142,30 +142,31 @@
         return;
     }
     const auto id = m_nextId++;
-    proxy::CallTerms terms;
-    terms.service = m_splitChooser.choose(*route);
-    terms.isIdempotent = route->isIdempotent;
-    terms.maxAttempts = route->maxAttempts;
-    terms.target = now + (route->targetLatency.count() > 0 ? route->targetLatency : route->timeout);
-    terms.deadline
+    proxy::CallPolicy policy;
+    policy.service = m_splitChooser.choose(*route);
+    policy.isIdempotent = route->isIdempotent;
+    policy.maxAttempts = route->maxAttempts;
+    policy.target
+            = now + (route->targetLatency.count() > 0 ? route->targetLatency : route->timeout);
+    policy.deadline
             = now + std::min(facts.deadline.value_or(internal::kDefaultDeadline), route->timeout);
-    terms.maySpill = request.body.size() + m_answerSizes.expected(route->name)
+    policy.maySpill = request.body.size() + m_answerSizes.expected(route->name)
             <= proxy::spillAllowance(route->priority);
-    m_retryBudget.onFirstAttempt(terms.service);
+    m_retryBudget.onFirstAttempt(policy.service);
     auto &call = m_calls.emplace(id,
                                  Call{id,
                                       connection,
                                       view,
                                       route,
                                       {},
-                                      proxy::CallCourse{std::move(terms)},
+                                      proxy::CallCourse{std::move(policy)},
                                       now,
                                       {},
                                       nullptr})
                          .first->second;
     call.frame.id = id;
     call.frame.requestId = facts.requestId;
-    call.frame.service = call.course.terms().service;
+    call.frame.service = call.course.policy().service;
     call.frame.account = account != nullptr ? account->name : "";
     call.frame.callerService = m_dependencies.settings.service;
     call.frame.isIdempotent = route->isIdempotent;
@@ -182,7 +183,7 @@
     m_dependencies.dialect.stripCaller(call.frame.request.headers);
     m_callIdsByConnection[connection.get()] = id;
     call.timer = std::make_unique<boost::asio::steady_timer>(m_context);
-    call.timer->expires_after(call.course.terms().deadline - now);
+    call.timer->expires_after(call.course.policy().deadline - now);
     call.timer->async_wait([this, id](const boost::system::error_code &ec) {
         if (!ec) {
             onTimeout(id);
@@ -250,8 +251,8 @@
 {
     const auto &server = *step.server;
     call.frame.serverId = server.id;
-    call.frame.deadline = millisBetween(now, call.course.terms().deadline);
-    call.frame.target = millisBetween(now, call.course.terms().target);
+    call.frame.deadline = millisBetween(now, call.course.policy().deadline);
+    call.frame.target = millisBetween(now, call.course.policy().target);
     call.frame.mayQueue = step.mayBeLate;
     const auto id = call.id;
     if (server.address.host == m_dependencies.settings.links.host) {
@@ -335,7 +336,7 @@
                   {"arrivals", std::to_string(call.course.attempts())},
                   {"expected_ms", std::to_string(call.course.likelyLatency().count())},
                   {"took_late", call.course.allowsLate() ? "1" : "0"},
-                  {"may_spill", call.course.terms().maySpill ? "1" : "0"},
+                  {"may_spill", call.course.policy().maySpill ? "1" : "0"},
                   {"spent_ms", std::to_string(millisBetween(call.arrivedAt, now).count())},
                   {"retry_ms", std::to_string(call.course.retryAfter().count())}});
     }
--- a/src/celeryramp/proxy/call_course.cpp
+++ b/src/celeryramp/proxy/call_course.cpp
@@ -40,9 +40,9 @@
 
 Choice CallCourse::choose(const CourseTools &tools, TimePoint now)
 {
-    const auto pool = tools.servers.candidates(m_terms.service, m_triedServers, now);
-    const auto left = millisBetween(now, m_allowsLate ? m_terms.deadline : m_terms.target);
-    return tools.picker.pick(pool, {std::max(left, Millis{0}), m_terms.maySpill}, now);
+    const auto pool = tools.servers.candidates(m_policy.service, m_triedServers, now);
+    const auto left = millisBetween(now, m_allowsLate ? m_policy.deadline : m_policy.target);
+    return tools.picker.pick(pool, {std::max(left, Millis{0}), m_policy.maySpill}, now);
 }
 
 CallStep CallCourse::advance(const CourseTools &tools, TimePoint now)
@@ -50,7 +50,7 @@
     Choice choice;
     if (!m_allowsLate && m_offers < internal::kMaxOffers) {
         choice = choose(tools, now);
-        const bool missesTarget = now + choice.likelyLatency > m_terms.target;
+        const bool missesTarget = now + choice.likelyLatency > m_policy.target;
         if (m_sawBusy && m_offers >= internal::kOffersBeforeTrustingLoad && missesTarget) {
             choice = {};
         }
@@ -110,11 +110,11 @@
     m_retryAfter = m_retryAfter.count() == 0 ? delay : std::min(m_retryAfter, delay);
     if (reply.reachedServer) {
         ++m_attempts;
-        if (m_attempts >= m_terms.maxAttempts || !tools.retries.trySpend(m_terms.service)) {
+        if (m_attempts >= m_policy.maxAttempts || !tools.retries.trySpend(m_policy.service)) {
             return giveUp();
         }
     }
-    if (millisBetween(now, m_terms.deadline) < internal::kMinTimeLeft) {
+    if (millisBetween(now, m_policy.deadline) < internal::kMinTimeLeft) {
         return giveUp();
     }
     return advance(tools, now);
@@ -122,9 +122,9 @@
 
 bool CallCourse::mayRepeat(const CourseTools &tools, TimePoint now) const
 {
-    return m_terms.isIdempotent && m_attempts < m_terms.maxAttempts
-            && millisBetween(now, m_terms.deadline) >= internal::kMinTimeLeft
-            && tools.retries.trySpend(m_terms.service);
+    return m_policy.isIdempotent && m_attempts < m_policy.maxAttempts
+            && millisBetween(now, m_policy.deadline) >= internal::kMinTimeLeft
+            && tools.retries.trySpend(m_policy.service);
 }
 
 GiveUpStep CallCourse::onTimeout(const CourseTools &tools, TimePoint now)
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -13,7 +13,7 @@
 namespace celeryramp::proxy {
 
 /*! @brief Limits and options of a call, from its route and its caller. */
-struct CallTerms
+struct CallPolicy
 {
     std::string service;
     bool isIdempotent = false;
@@ -76,7 +76,7 @@
 class CallCourse
 {
 public:
-    explicit CallCourse(CallTerms terms) : m_terms{std::move(terms)} { }
+    explicit CallCourse(CallPolicy policy) : m_policy{std::move(policy)} { }
 
     /*! @return The first step of the call. */
     [[nodiscard]] CallStep begin(const CourseTools &tools, TimePoint now);
@@ -99,7 +99,7 @@
     [[nodiscard]] Millis likelyLatency() const noexcept { return m_likelyLatency; }
     /*! @return True once the call is offered for an answer after its target. */
     [[nodiscard]] bool allowsLate() const noexcept { return m_allowsLate; }
-    [[nodiscard]] const CallTerms &terms() const noexcept { return m_terms; }
+    [[nodiscard]] const CallPolicy &policy() const noexcept { return m_policy; }
 
 private:
     [[nodiscard]] CallStep advance(const CourseTools &tools, TimePoint now);
@@ -109,7 +109,7 @@
                                     TimePoint now);
     [[nodiscard]] GiveUpStep giveUp() const;
 
-    CallTerms m_terms;
+    CallPolicy m_policy;
     std::set<std::string>
             m_triedServers; /*!< Ids of the servers whose gates were offered the call. */
     std::string m_pendingServer;
--- a/test/proxy/call_course.cpp
+++ b/test/proxy/call_course.cpp
@@ -47,7 +47,7 @@
     RetryBudget m_retries{0.2, 10.0, 10.0};
 };
 
-CallTerms terms(bool isIdempotent = true, int maxAttempts = 2)
+CallPolicy policy(bool isIdempotent = true, int maxAttempts = 2)
 {
     return {"stock", isIdempotent, maxAttempts, kStart + Millis{500}, kStart + Millis{1200}};
 }
@@ -83,7 +83,7 @@
 TEST_CASE("A call that is not idempotent is not retried once it may have run")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{terms(false)};
+    CallCourse course{policy(false)};
     REQUIRE(std::holds_alternative<OfferStep>(course.begin(service.tools(), kStart)));
     const auto step = course.onReply(lost(), service.tools(), kStart + Millis{10});
     REQUIRE(std::get<GiveUpStep>(step).status == 502);
@@ -93,7 +93,7 @@
 TEST_CASE("A server error of a call that is not idempotent is forwarded unchanged")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{terms(false)};
+    CallCourse course{policy(false)};
     static_cast<void>(course.begin(service.tools(), kStart));
     REQUIRE(std::holds_alternative<AnswerStep>(
             course.onReply(answered(500), service.tools(), kStart + Millis{10})));
@@ -102,7 +102,7 @@
 TEST_CASE("An idempotent call is retried within its attempts")
 {
     TestService service{"near-1", "near-2", "near-3"};
-    CallCourse course{terms(true, 2)};
+    CallCourse course{policy(true, 2)};
     const auto first = std::get<OfferStep>(course.begin(service.tools(), kStart));
     const auto second = std::get<OfferStep>(course.onReply(lost(), service.tools(), kStart));
     REQUIRE(first.server->id != second.server->id);
@@ -114,7 +114,7 @@
 TEST_CASE("A call that may have run is not reported as not run after a refusal by another server")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{terms(true, 3)};
+    CallCourse course{policy(true, 3)};
     static_cast<void>(course.begin(service.tools(), kStart));
     REQUIRE(std::holds_alternative<OfferStep>(course.onReply(lost(), service.tools(), kStart)));
     const auto end = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
@@ -124,7 +124,7 @@
 TEST_CASE("Refusals by gates cost no attempt but refusals by servers do")
 {
     TestService service{"near-1", "near-2", "near-3", "far-1"};
-    CallCourse course{terms(false, 1)};
+    CallCourse course{policy(false, 1)};
     static_cast<void>(course.begin(service.tools(), kStart));
     REQUIRE(std::holds_alternative<OfferStep>(
             course.onReply(refusal(Reason::Draining), service.tools(), kStart)));
@@ -138,7 +138,7 @@
 {
     TestService service{"near-1", "near-2", "near-3"};
     while (service.retries().trySpend("stock")) { }
-    CallCourse course{terms(true, 3)};
+    CallCourse course{policy(true, 3)};
     static_cast<void>(course.begin(service.tools(), kStart));
     REQUIRE(std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart)).status == 502);
 }
@@ -147,7 +147,7 @@
 {
     TestService service{"near-1", "near-2", "near-3", "near-4", "near-5",
                         "near-6", "near-7", "near-8", "near-9", "far-1"};
-    CallCourse course{terms()};
+    CallCourse course{policy()};
     auto step = course.begin(service.tools(), kStart);
     bool hasAskedFar = false;
     for (int i = 0; i < 6 && std::holds_alternative<OfferStep>(step); ++i) {
@@ -163,7 +163,7 @@
 TEST_CASE("Pattern: overload - few gates are offered the call late and then it is refused")
 {
     TestService service{"near-1", "near-2", "near-3", "near-4", "near-5", "near-6"};
-    CallCourse course{terms()};
+    CallCourse course{policy()};
     auto step = course.begin(service.tools(), kStart);
     int late = 0;
     while (std::holds_alternative<OfferStep>(step)) {
@@ -180,12 +180,12 @@
 TEST_CASE("A timeout at a gate ends as a timeout and a call without servers as not run")
 {
     TestService service{"near-1"};
-    CallCourse course{terms()};
+    CallCourse course{policy()};
     static_cast<void>(course.begin(service.tools(), kStart));
     REQUIRE(course.onTimeout(service.tools(), kStart + Millis{1200}).status == 504);
 
     TestService empty{};
-    CallCourse other{terms()};
+    CallCourse other{policy()};
     const auto end = std::get<GiveUpStep>(other.begin(empty.tools(), kStart));
     REQUIRE(end.status == 503);
     REQUIRE(end.reason == Reason::NoServer);
