--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -189,7 +189,7 @@
             onTimeout(id);
         }
     });
-    executeStep(call, call.course.begin(courseTools(), now), nullptr, now);
+    executeStep(call, call.course.begin(dispatchContext(), now), nullptr, now);
 }
 
 void RequestDispatcher::onBadRequest(int status)
@@ -291,7 +291,7 @@
         return;
     }
     auto &call = it->second;
-    executeStep(call, call.course.onReply(reply, courseTools(), now), &reply, now);
+    executeStep(call, call.course.onReply(reply, dispatchContext(), now), &reply, now);
 }
 
 void RequestDispatcher::giveUp(Call &call, const proxy::GiveUpStep &step, TimePoint now)
@@ -369,7 +369,7 @@
     const auto now = bootNow();
     auto &call = it->second;
     cancelAtGate(call, now);
-    giveUp(call, call.course.onTimeout(courseTools(), now), now);
+    giveUp(call, call.course.onTimeout(dispatchContext(), now), now);
 }
 
 void RequestDispatcher::onClosed(const http::CallerConnectionPtr &connection)
@@ -392,7 +392,7 @@
               {"server", call.course.pendingServer()},
               {"spent_ms", std::to_string(millisBetween(call.arrivedAt, now).count())}});
     cancelAtGate(call, now);
-    call.course.onCallerLeft(courseTools());
+    call.course.onCallerLeft(dispatchContext());
     m_calls.erase(it);
 }
 
--- a/src/celeryramp/engine/request_dispatcher.h
+++ b/src/celeryramp/engine/request_dispatcher.h
@@ -108,7 +108,7 @@
      */
     void executeStep(Call &call, const proxy::CallStep &step, const proxy::ReplyFrame *reply,
                      TimePoint now);
-    [[nodiscard]] proxy::CourseTools courseTools()
+    [[nodiscard]] proxy::DispatchContext dispatchContext()
     {
         return {m_serverPicker, m_retryBudget, *this};
     }
--- a/src/celeryramp/proxy/call_course.cpp
+++ b/src/celeryramp/proxy/call_course.cpp
@@ -33,23 +33,23 @@
 
 } // namespace internal
 
-CallStep CallCourse::begin(const CourseTools &tools, TimePoint now)
+CallStep CallCourse::begin(const DispatchContext &context, TimePoint now)
 {
-    return advance(tools, now);
+    return advance(context, now);
 }
 
-Choice CallCourse::choose(const CourseTools &tools, TimePoint now)
+Choice CallCourse::choose(const DispatchContext &context, TimePoint now)
 {
-    const auto pool = tools.servers.candidates(m_policy.service, m_triedServers, now);
+    const auto pool = context.servers.candidates(m_policy.service, m_triedServers, now);
     const auto left = millisBetween(now, m_allowsLate ? m_policy.deadline : m_policy.target);
-    return tools.picker.pick(pool, {std::max(left, Millis{0}), m_policy.maySpill}, now);
+    return context.picker.pick(pool, {std::max(left, Millis{0}), m_policy.maySpill}, now);
 }
 
-CallStep CallCourse::advance(const CourseTools &tools, TimePoint now)
+CallStep CallCourse::advance(const DispatchContext &context, TimePoint now)
 {
     Choice choice;
     if (!m_allowsLate && m_offers < internal::kMaxOffers) {
-        choice = choose(tools, now);
+        choice = choose(context, now);
         const bool missesTarget = now + choice.likelyLatency > m_policy.target;
         if (m_sawBusy && m_offers >= internal::kOffersBeforeTrustingLoad && missesTarget) {
             choice = {};
@@ -64,7 +64,7 @@
             m_triedServers.clear();
         }
         ++m_lateOffers;
-        choice = choose(tools, now);
+        choice = choose(context, now);
     }
     if (choice.server == nullptr) {
         if (m_lastReason == Reason::None) {
@@ -76,27 +76,27 @@
     m_triedServers.insert(choice.server->id);
     m_pendingServer = choice.server->id;
     m_likelyLatency = choice.likelyLatency;
-    tools.picker.onSent(m_pendingServer);
+    context.picker.onSent(m_pendingServer);
     return OfferStep{choice.server, m_allowsLate};
 }
 
-CallStep CallCourse::onReply(const ReplyFrame &reply, const CourseTools &tools, TimePoint now)
+CallStep CallCourse::onReply(const ReplyFrame &reply, const DispatchContext &context, TimePoint now)
 {
     const bool isSuccess = reply.kind == ReplyKind::Answer
             ? reply.answer.status < internal::kServerErrorStatus
             : reply.kind == ReplyKind::NotRun && !reply.reachedServer
                     && reply.reason != Reason::Unreachable;
-    tools.picker.onReply(m_pendingServer, reply.load, isSuccess, now);
+    context.picker.onReply(m_pendingServer, reply.load, isSuccess, now);
     m_pendingServer.clear();
     m_lastReason = reply.reason;
     m_sawBusy = m_sawBusy || reply.reason == Reason::Busy;
     if (reply.kind == ReplyKind::NotRun) {
-        return onNotRun(reply, tools, now);
+        return onNotRun(reply, context, now);
     }
     ++m_attempts;
     m_mayHaveRun = true;
-    if (!isSuccess && mayRepeat(tools, now)) {
-        return advance(tools, now);
+    if (!isSuccess && mayRepeat(context, now)) {
+        return advance(context, now);
     }
     if (reply.kind == ReplyKind::Answer) {
         return AnswerStep{};
@@ -104,44 +104,45 @@
     return giveUp();
 }
 
-CallStep CallCourse::onNotRun(const ReplyFrame &reply, const CourseTools &tools, TimePoint now)
+CallStep CallCourse::onNotRun(const ReplyFrame &reply, const DispatchContext &context,
+                              TimePoint now)
 {
     const auto delay = internal::retryDelay(reply.load);
     m_retryAfter = m_retryAfter.count() == 0 ? delay : std::min(m_retryAfter, delay);
     if (reply.reachedServer) {
         ++m_attempts;
-        if (m_attempts >= m_policy.maxAttempts || !tools.retries.trySpend(m_policy.service)) {
+        if (m_attempts >= m_policy.maxAttempts || !context.retries.trySpend(m_policy.service)) {
             return giveUp();
         }
     }
     if (millisBetween(now, m_policy.deadline) < internal::kMinTimeLeft) {
         return giveUp();
     }
-    return advance(tools, now);
+    return advance(context, now);
 }
 
-bool CallCourse::mayRepeat(const CourseTools &tools, TimePoint now) const
+bool CallCourse::mayRepeat(const DispatchContext &context, TimePoint now) const
 {
     return m_policy.isIdempotent && m_attempts < m_policy.maxAttempts
             && millisBetween(now, m_policy.deadline) >= internal::kMinTimeLeft
-            && tools.retries.trySpend(m_policy.service);
+            && context.retries.trySpend(m_policy.service);
 }
 
-GiveUpStep CallCourse::onTimeout(const CourseTools &tools, TimePoint now)
+GiveUpStep CallCourse::onTimeout(const DispatchContext &context, TimePoint now)
 {
     m_mayHaveRun = m_mayHaveRun || !m_pendingServer.empty();
     if (!m_pendingServer.empty()) {
-        tools.picker.onNoReply(m_pendingServer, now);
+        context.picker.onNoReply(m_pendingServer, now);
         m_pendingServer.clear();
     }
     m_lastReason = Reason::TimedOut;
     return giveUp();
 }
 
-void CallCourse::onCallerLeft(const CourseTools &tools)
+void CallCourse::onCallerLeft(const DispatchContext &context)
 {
     if (!m_pendingServer.empty()) {
-        tools.picker.onAbandoned(m_pendingServer);
+        context.picker.onAbandoned(m_pendingServer);
         m_pendingServer.clear();
     }
 }
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_course.h
@@ -57,7 +57,7 @@
 };
 
 /*! @brief Objects that all calls of a node share. */
-struct CourseTools
+struct DispatchContext
 {
     ServerPicker &picker;
     RetryBudget &retries;
@@ -79,14 +79,14 @@
     explicit CallCourse(CallPolicy policy) : m_policy{std::move(policy)} { }
 
     /*! @return The first step of the call. */
-    [[nodiscard]] CallStep begin(const CourseTools &tools, TimePoint now);
+    [[nodiscard]] CallStep begin(const DispatchContext &context, TimePoint now);
     /*! @brief Handles the reply of the gate, or the loss of its node. @return The next step. */
-    [[nodiscard]] CallStep onReply(const ReplyFrame &reply, const CourseTools &tools,
+    [[nodiscard]] CallStep onReply(const ReplyFrame &reply, const DispatchContext &context,
                                    TimePoint now);
     /*! @brief Ends the call when its deadline or the timeout of its route is reached. */
-    [[nodiscard]] GiveUpStep onTimeout(const CourseTools &tools, TimePoint now);
+    [[nodiscard]] GiveUpStep onTimeout(const DispatchContext &context, TimePoint now);
     /*! @brief Handles that the caller closed its connection or cancelled the call. */
-    void onCallerLeft(const CourseTools &tools);
+    void onCallerLeft(const DispatchContext &context);
 
     /*! @return Id of the server whose gate has yet to reply; empty if there is none. */
     [[nodiscard]] const std::string &pendingServer() const noexcept { return m_pendingServer; }
@@ -102,10 +102,10 @@
     [[nodiscard]] const CallPolicy &policy() const noexcept { return m_policy; }
 
 private:
-    [[nodiscard]] CallStep advance(const CourseTools &tools, TimePoint now);
-    [[nodiscard]] Choice choose(const CourseTools &tools, TimePoint now);
-    [[nodiscard]] bool mayRepeat(const CourseTools &tools, TimePoint now) const;
-    [[nodiscard]] CallStep onNotRun(const ReplyFrame &reply, const CourseTools &tools,
+    [[nodiscard]] CallStep advance(const DispatchContext &context, TimePoint now);
+    [[nodiscard]] Choice choose(const DispatchContext &context, TimePoint now);
+    [[nodiscard]] bool mayRepeat(const DispatchContext &context, TimePoint now) const;
+    [[nodiscard]] CallStep onNotRun(const ReplyFrame &reply, const DispatchContext &context,
                                     TimePoint now);
     [[nodiscard]] GiveUpStep giveUp() const;
 
--- a/test/proxy/call_course.cpp
+++ b/test/proxy/call_course.cpp
@@ -38,7 +38,7 @@
         return pool;
     }
 
-    CourseTools tools() { return {m_picker, m_retries, *this}; }
+    DispatchContext dispatchContext() { return {m_picker, m_retries, *this}; }
     RetryBudget &retries() { return m_retries; }
 
 private:
@@ -84,8 +84,8 @@
 {
     TestService service{"near-1", "near-2"};
     CallCourse course{policy(false)};
-    REQUIRE(std::holds_alternative<OfferStep>(course.begin(service.tools(), kStart)));
-    const auto step = course.onReply(lost(), service.tools(), kStart + Millis{10});
+    REQUIRE(std::holds_alternative<OfferStep>(course.begin(service.dispatchContext(), kStart)));
+    const auto step = course.onReply(lost(), service.dispatchContext(), kStart + Millis{10});
     REQUIRE(std::get<GiveUpStep>(step).status == 502);
     REQUIRE_FALSE(std::get<GiveUpStep>(step).retryAfter);
 }
@@ -94,19 +94,21 @@
 {
     TestService service{"near-1", "near-2"};
     CallCourse course{policy(false)};
-    static_cast<void>(course.begin(service.tools(), kStart));
+    static_cast<void>(course.begin(service.dispatchContext(), kStart));
     REQUIRE(std::holds_alternative<AnswerStep>(
-            course.onReply(answered(500), service.tools(), kStart + Millis{10})));
+            course.onReply(answered(500), service.dispatchContext(), kStart + Millis{10})));
 }
 
 TEST_CASE("An idempotent call is retried within its attempts")
 {
     TestService service{"near-1", "near-2", "near-3"};
     CallCourse course{policy(true, 2)};
-    const auto first = std::get<OfferStep>(course.begin(service.tools(), kStart));
-    const auto second = std::get<OfferStep>(course.onReply(lost(), service.tools(), kStart));
+    const auto first = std::get<OfferStep>(course.begin(service.dispatchContext(), kStart));
+    const auto second
+            = std::get<OfferStep>(course.onReply(lost(), service.dispatchContext(), kStart));
     REQUIRE(first.server->id != second.server->id);
-    const auto end = std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart));
+    const auto end
+            = std::get<GiveUpStep>(course.onReply(lost(), service.dispatchContext(), kStart));
     REQUIRE(end.status == 502);
     REQUIRE(course.attempts() == 2);
 }
@@ -115,9 +117,10 @@
 {
     TestService service{"near-1", "near-2"};
     CallCourse course{policy(true, 3)};
-    static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(std::holds_alternative<OfferStep>(course.onReply(lost(), service.tools(), kStart)));
-    const auto end = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
+    static_cast<void>(course.begin(service.dispatchContext(), kStart));
+    REQUIRE(std::holds_alternative<OfferStep>(
+            course.onReply(lost(), service.dispatchContext(), kStart)));
+    const auto end = course.onReply(refusal(Reason::Busy), service.dispatchContext(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 502);
 }
 
@@ -125,11 +128,11 @@
 {
     TestService service{"near-1", "near-2", "near-3", "far-1"};
     CallCourse course{policy(false, 1)};
-    static_cast<void>(course.begin(service.tools(), kStart));
+    static_cast<void>(course.begin(service.dispatchContext(), kStart));
     REQUIRE(std::holds_alternative<OfferStep>(
-            course.onReply(refusal(Reason::Draining), service.tools(), kStart)));
+            course.onReply(refusal(Reason::Draining), service.dispatchContext(), kStart)));
     REQUIRE(course.attempts() == 0);
-    const auto end = course.onReply(refusal(Reason::Shed, true), service.tools(), kStart);
+    const auto end = course.onReply(refusal(Reason::Shed, true), service.dispatchContext(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 503);
     REQUIRE(std::get<GiveUpStep>(end).retryAfter);
 }
@@ -139,8 +142,9 @@
     TestService service{"near-1", "near-2", "near-3"};
     while (service.retries().trySpend("stock")) { }
     CallCourse course{policy(true, 3)};
-    static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart)).status == 502);
+    static_cast<void>(course.begin(service.dispatchContext(), kStart));
+    REQUIRE(std::get<GiveUpStep>(course.onReply(lost(), service.dispatchContext(), kStart)).status
+            == 502);
 }
 
 TEST_CASE("Pattern: a large zone is full - other zones are tried before the offers are used up")
@@ -148,14 +152,14 @@
     TestService service{"near-1", "near-2", "near-3", "near-4", "near-5",
                         "near-6", "near-7", "near-8", "near-9", "far-1"};
     CallCourse course{policy()};
-    auto step = course.begin(service.tools(), kStart);
+    auto step = course.begin(service.dispatchContext(), kStart);
     bool hasAskedFar = false;
     for (int i = 0; i < 6 && std::holds_alternative<OfferStep>(step); ++i) {
         const auto &offer = std::get<OfferStep>(step);
         hasAskedFar = hasAskedFar || offer.server->id == "far-1";
         auto reply = refusal(Reason::Busy);
         reply.load.waiting = 100;
-        step = course.onReply(reply, service.tools(), kStart);
+        step = course.onReply(reply, service.dispatchContext(), kStart);
     }
     REQUIRE(hasAskedFar);
 }
@@ -164,11 +168,11 @@
 {
     TestService service{"near-1", "near-2", "near-3", "near-4", "near-5", "near-6"};
     CallCourse course{policy()};
-    auto step = course.begin(service.tools(), kStart);
+    auto step = course.begin(service.dispatchContext(), kStart);
     int late = 0;
     while (std::holds_alternative<OfferStep>(step)) {
         late += std::get<OfferStep>(step).mayBeLate ? 1 : 0;
-        step = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
+        step = course.onReply(refusal(Reason::Busy), service.dispatchContext(), kStart);
     }
     REQUIRE(late == 4);
     const auto end = std::get<GiveUpStep>(step);
@@ -181,12 +185,12 @@
 {
     TestService service{"near-1"};
     CallCourse course{policy()};
-    static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(course.onTimeout(service.tools(), kStart + Millis{1200}).status == 504);
+    static_cast<void>(course.begin(service.dispatchContext(), kStart));
+    REQUIRE(course.onTimeout(service.dispatchContext(), kStart + Millis{1200}).status == 504);
 
     TestService empty{};
     CallCourse other{policy()};
-    const auto end = std::get<GiveUpStep>(other.begin(empty.tools(), kStart));
+    const auto end = std::get<GiveUpStep>(other.begin(empty.dispatchContext(), kStart));
     REQUIRE(end.status == 503);
     REQUIRE(end.reason == Reason::NoServer);
 }
