--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -159,14 +159,14 @@
                                       view,
                                       route,
                                       {},
-                                      proxy::CallCourse{std::move(policy)},
+                                      proxy::CallDispatcher{std::move(policy)},
                                       now,
                                       {},
                                       nullptr})
                          .first->second;
     call.frame.id = id;
     call.frame.requestId = facts.requestId;
-    call.frame.service = call.course.policy().service;
+    call.frame.service = call.dispatcher.policy().service;
     call.frame.account = account != nullptr ? account->name : "";
     call.frame.callerService = m_dependencies.settings.service;
     call.frame.isIdempotent = route->isIdempotent;
@@ -183,13 +183,13 @@
     m_dependencies.dialect.stripCaller(call.frame.request.headers);
     m_callIdsByConnection[connection.get()] = id;
     call.timer = std::make_unique<boost::asio::steady_timer>(m_context);
-    call.timer->expires_after(call.course.policy().deadline - now);
+    call.timer->expires_after(call.dispatcher.policy().deadline - now);
     call.timer->async_wait([this, id](const boost::system::error_code &ec) {
         if (!ec) {
             onTimeout(id);
         }
     });
-    executeStep(call, call.course.begin(dispatchContext(), now), nullptr, now);
+    executeStep(call, call.dispatcher.begin(dispatchContext(), now), nullptr, now);
 }
 
 void RequestDispatcher::onBadRequest(int status)
@@ -251,8 +251,8 @@
 {
     const auto &server = *step.server;
     call.frame.serverId = server.id;
-    call.frame.deadline = millisBetween(now, call.course.policy().deadline);
-    call.frame.target = millisBetween(now, call.course.policy().target);
+    call.frame.deadline = millisBetween(now, call.dispatcher.policy().deadline);
+    call.frame.target = millisBetween(now, call.dispatcher.policy().target);
     call.frame.mayQueue = step.mayBeLate;
     const auto id = call.id;
     if (server.address.host == m_dependencies.settings.links.host) {
@@ -287,11 +287,11 @@
 void RequestDispatcher::onGateReply(std::uint64_t id, const proxy::ReplyFrame &reply, TimePoint now)
 {
     const auto it = m_calls.find(id);
-    if (it == m_calls.end() || it->second.course.pendingServer().empty()) {
+    if (it == m_calls.end() || it->second.dispatcher.pendingServer().empty()) {
         return;
     }
     auto &call = it->second;
-    executeStep(call, call.course.onReply(reply, dispatchContext(), now), &reply, now);
+    executeStep(call, call.dispatcher.onReply(reply, dispatchContext(), now), &reply, now);
 }
 
 void RequestDispatcher::giveUp(Call &call, const proxy::GiveUpStep &step, TimePoint now)
@@ -332,13 +332,13 @@
                   {"account", call.frame.account},
                   {"version", std::to_string(call.view->routing->version())},
                   {"server", call.frame.serverId},
-                  {"asks", std::to_string(call.course.offers())},
-                  {"arrivals", std::to_string(call.course.attempts())},
-                  {"expected_ms", std::to_string(call.course.likelyLatency().count())},
-                  {"took_late", call.course.allowsLate() ? "1" : "0"},
-                  {"may_spill", call.course.policy().maySpill ? "1" : "0"},
+                  {"asks", std::to_string(call.dispatcher.offers())},
+                  {"arrivals", std::to_string(call.dispatcher.attempts())},
+                  {"expected_ms", std::to_string(call.dispatcher.likelyLatency().count())},
+                  {"took_late", call.dispatcher.allowsLate() ? "1" : "0"},
+                  {"may_spill", call.dispatcher.policy().maySpill ? "1" : "0"},
                   {"spent_ms", std::to_string(millisBetween(call.arrivedAt, now).count())},
-                  {"retry_ms", std::to_string(call.course.retryAfter().count())}});
+                  {"retry_ms", std::to_string(call.dispatcher.retryAfter().count())}});
     }
     const auto connection = call.connection;
     m_callIdsByConnection.erase(connection.get());
@@ -348,7 +348,7 @@
 
 void RequestDispatcher::cancelAtGate(Call &call, TimePoint now)
 {
-    if (call.course.pendingServer().empty()) {
+    if (call.dispatcher.pendingServer().empty()) {
         return;
     }
     if (call.peer.host.empty()) {
@@ -369,7 +369,7 @@
     const auto now = bootNow();
     auto &call = it->second;
     cancelAtGate(call, now);
-    giveUp(call, call.course.onTimeout(dispatchContext(), now), now);
+    giveUp(call, call.dispatcher.onTimeout(dispatchContext(), now), now);
 }
 
 void RequestDispatcher::onClosed(const http::CallerConnectionPtr &connection)
@@ -389,10 +389,10 @@
     m_dependencies.metrics.counter("requests_total{outcome=\"cancelled\"}").add();
     logEvent(LogLevel::Info, "desk", "request-cancelled",
              {{"request", call.frame.requestId},
-              {"server", call.course.pendingServer()},
+              {"server", call.dispatcher.pendingServer()},
               {"spent_ms", std::to_string(millisBetween(call.arrivedAt, now).count())}});
     cancelAtGate(call, now);
-    call.course.onCallerLeft(dispatchContext());
+    call.dispatcher.onCallerLeft(dispatchContext());
     m_calls.erase(it);
 }
 
@@ -401,7 +401,7 @@
     m_leavingNodes.erase(peer.host);
     std::vector<std::uint64_t> ids;
     for (const auto &[id, call] : m_calls) {
-        if (!call.course.pendingServer().empty() && call.peer == peer) {
+        if (!call.dispatcher.pendingServer().empty() && call.peer == peer) {
             ids.push_back(id);
         }
     }
@@ -422,7 +422,7 @@
 bool RequestDispatcher::isAwaiting(const Address &peer) const
 {
     return std::any_of(m_calls.begin(), m_calls.end(), [&peer](const auto &entry) {
-        return !entry.second.course.pendingServer().empty() && entry.second.peer == peer;
+        return !entry.second.dispatcher.pendingServer().empty() && entry.second.peer == peer;
     });
 }
 
--- a/src/celeryramp/engine/request_dispatcher.h
+++ b/src/celeryramp/engine/request_dispatcher.h
@@ -16,7 +16,7 @@
 #include "http/caller_connection.h"
 #include "links/peer_links.h"
 #include "proxy/answer_sizes.h"
-#include "proxy/call_course.h"
+#include "proxy/call_dispatcher.h"
 #include "proxy/fleet_limiter.h"
 #include "proxy/server_picker.h"
 #include "proxy/split_chooser.h"
@@ -87,7 +87,7 @@
         directory::DirectoryPtr view;
         const directory::Route *route = nullptr;
         proxy::CallFrame frame;
-        proxy::CallCourse course;
+        proxy::CallDispatcher dispatcher;
         TimePoint arrivedAt;
         Address peer; /*!< Node of the gate asked now; the host is empty for the local gate. */
         std::unique_ptr<boost::asio::steady_timer> timer;
--- a/src/celeryramp/proxy/call_course.cpp
+++ b/src/celeryramp/proxy/call_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "proxy/call_course.h"
+#include "proxy/call_dispatcher.h"
 
 #include <algorithm>
 
@@ -33,19 +33,19 @@
 
 } // namespace internal
 
-CallStep CallCourse::begin(const DispatchContext &context, TimePoint now)
+CallStep CallDispatcher::begin(const DispatchContext &context, TimePoint now)
 {
     return advance(context, now);
 }
 
-Choice CallCourse::choose(const DispatchContext &context, TimePoint now)
+Choice CallDispatcher::choose(const DispatchContext &context, TimePoint now)
 {
     const auto pool = context.servers.candidates(m_policy.service, m_triedServers, now);
     const auto left = millisBetween(now, m_allowsLate ? m_policy.deadline : m_policy.target);
     return context.picker.pick(pool, {std::max(left, Millis{0}), m_policy.maySpill}, now);
 }
 
-CallStep CallCourse::advance(const DispatchContext &context, TimePoint now)
+CallStep CallDispatcher::advance(const DispatchContext &context, TimePoint now)
 {
     Choice choice;
     if (!m_allowsLate && m_offers < internal::kMaxOffers) {
@@ -80,7 +80,8 @@
     return OfferStep{choice.server, m_allowsLate};
 }
 
-CallStep CallCourse::onReply(const ReplyFrame &reply, const DispatchContext &context, TimePoint now)
+CallStep CallDispatcher::onReply(const ReplyFrame &reply, const DispatchContext &context,
+                                 TimePoint now)
 {
     const bool isSuccess = reply.kind == ReplyKind::Answer
             ? reply.answer.status < internal::kServerErrorStatus
@@ -104,8 +105,8 @@
     return giveUp();
 }
 
-CallStep CallCourse::onNotRun(const ReplyFrame &reply, const DispatchContext &context,
-                              TimePoint now)
+CallStep CallDispatcher::onNotRun(const ReplyFrame &reply, const DispatchContext &context,
+                                  TimePoint now)
 {
     const auto delay = internal::retryDelay(reply.load);
     m_retryAfter = m_retryAfter.count() == 0 ? delay : std::min(m_retryAfter, delay);
@@ -121,14 +122,14 @@
     return advance(context, now);
 }
 
-bool CallCourse::mayRepeat(const DispatchContext &context, TimePoint now) const
+bool CallDispatcher::mayRepeat(const DispatchContext &context, TimePoint now) const
 {
     return m_policy.isIdempotent && m_attempts < m_policy.maxAttempts
             && millisBetween(now, m_policy.deadline) >= internal::kMinTimeLeft
             && context.retries.trySpend(m_policy.service);
 }
 
-GiveUpStep CallCourse::onTimeout(const DispatchContext &context, TimePoint now)
+GiveUpStep CallDispatcher::onTimeout(const DispatchContext &context, TimePoint now)
 {
     m_mayHaveRun = m_mayHaveRun || !m_pendingServer.empty();
     if (!m_pendingServer.empty()) {
@@ -139,7 +140,7 @@
     return giveUp();
 }
 
-void CallCourse::onCallerLeft(const DispatchContext &context)
+void CallDispatcher::onCallerLeft(const DispatchContext &context)
 {
     if (!m_pendingServer.empty()) {
         context.picker.onAbandoned(m_pendingServer);
@@ -147,7 +148,7 @@
     }
 }
 
-GiveUpStep CallCourse::giveUp() const
+GiveUpStep CallDispatcher::giveUp() const
 {
     if (m_lastReason == Reason::TimedOut) {
         return {internal::kGatewayTimeoutStatus, m_lastReason, std::nullopt};
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_dispatcher.h
@@ -73,10 +73,10 @@
  * cases only within the attempts of its route and the retry budget. A call that a server may have
  * executed is never reported as not run.
  */
-class CallCourse
+class CallDispatcher
 {
 public:
-    explicit CallCourse(CallPolicy policy) : m_policy{std::move(policy)} { }
+    explicit CallDispatcher(CallPolicy policy) : m_policy{std::move(policy)} { }
 
     /*! @return The first step of the call. */
     [[nodiscard]] CallStep begin(const DispatchContext &context, TimePoint now);
--- a/src/celeryramp/proxy/fwd.h
+++ b/src/celeryramp/proxy/fwd.h
@@ -8,7 +8,7 @@
 namespace celeryramp::proxy {
 
 class AnswerSizes;
-class CallCourse;
+class CallDispatcher;
 struct CallFrame;
 class Dialect;
 struct GateLoad;
--- a/test/proxy/call_course.cpp
+++ b/test/proxy/call_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "proxy/call_course.h"
+#include "proxy/call_dispatcher.h"
 
 #include <map>
 #include <string>
@@ -83,9 +83,9 @@
 TEST_CASE("A call that is not idempotent is not retried once it may have run")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{policy(false)};
-    REQUIRE(std::holds_alternative<OfferStep>(course.begin(service.dispatchContext(), kStart)));
-    const auto step = course.onReply(lost(), service.dispatchContext(), kStart + Millis{10});
+    CallDispatcher dispatcher{policy(false)};
+    REQUIRE(std::holds_alternative<OfferStep>(dispatcher.begin(service.dispatchContext(), kStart)));
+    const auto step = dispatcher.onReply(lost(), service.dispatchContext(), kStart + Millis{10});
     REQUIRE(std::get<GiveUpStep>(step).status == 502);
     REQUIRE_FALSE(std::get<GiveUpStep>(step).retryAfter);
 }
@@ -93,46 +93,47 @@
 TEST_CASE("A server error of a call that is not idempotent is forwarded unchanged")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{policy(false)};
-    static_cast<void>(course.begin(service.dispatchContext(), kStart));
+    CallDispatcher dispatcher{policy(false)};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
     REQUIRE(std::holds_alternative<AnswerStep>(
-            course.onReply(answered(500), service.dispatchContext(), kStart + Millis{10})));
+            dispatcher.onReply(answered(500), service.dispatchContext(), kStart + Millis{10})));
 }
 
 TEST_CASE("An idempotent call is retried within its attempts")
 {
     TestService service{"near-1", "near-2", "near-3"};
-    CallCourse course{policy(true, 2)};
-    const auto first = std::get<OfferStep>(course.begin(service.dispatchContext(), kStart));
+    CallDispatcher dispatcher{policy(true, 2)};
+    const auto first = std::get<OfferStep>(dispatcher.begin(service.dispatchContext(), kStart));
     const auto second
-            = std::get<OfferStep>(course.onReply(lost(), service.dispatchContext(), kStart));
+            = std::get<OfferStep>(dispatcher.onReply(lost(), service.dispatchContext(), kStart));
     REQUIRE(first.server->id != second.server->id);
     const auto end
-            = std::get<GiveUpStep>(course.onReply(lost(), service.dispatchContext(), kStart));
+            = std::get<GiveUpStep>(dispatcher.onReply(lost(), service.dispatchContext(), kStart));
     REQUIRE(end.status == 502);
-    REQUIRE(course.attempts() == 2);
+    REQUIRE(dispatcher.attempts() == 2);
 }
 
 TEST_CASE("A call that may have run is not reported as not run after a refusal by another server")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{policy(true, 3)};
-    static_cast<void>(course.begin(service.dispatchContext(), kStart));
+    CallDispatcher dispatcher{policy(true, 3)};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
     REQUIRE(std::holds_alternative<OfferStep>(
-            course.onReply(lost(), service.dispatchContext(), kStart)));
-    const auto end = course.onReply(refusal(Reason::Busy), service.dispatchContext(), kStart);
+            dispatcher.onReply(lost(), service.dispatchContext(), kStart)));
+    const auto end = dispatcher.onReply(refusal(Reason::Busy), service.dispatchContext(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 502);
 }
 
 TEST_CASE("Refusals by gates cost no attempt but refusals by servers do")
 {
     TestService service{"near-1", "near-2", "near-3", "far-1"};
-    CallCourse course{policy(false, 1)};
-    static_cast<void>(course.begin(service.dispatchContext(), kStart));
+    CallDispatcher dispatcher{policy(false, 1)};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
     REQUIRE(std::holds_alternative<OfferStep>(
-            course.onReply(refusal(Reason::Draining), service.dispatchContext(), kStart)));
-    REQUIRE(course.attempts() == 0);
-    const auto end = course.onReply(refusal(Reason::Shed, true), service.dispatchContext(), kStart);
+            dispatcher.onReply(refusal(Reason::Draining), service.dispatchContext(), kStart)));
+    REQUIRE(dispatcher.attempts() == 0);
+    const auto end
+            = dispatcher.onReply(refusal(Reason::Shed, true), service.dispatchContext(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 503);
     REQUIRE(std::get<GiveUpStep>(end).retryAfter);
 }
@@ -141,9 +142,10 @@
 {
     TestService service{"near-1", "near-2", "near-3"};
     while (service.retries().trySpend("stock")) { }
-    CallCourse course{policy(true, 3)};
-    static_cast<void>(course.begin(service.dispatchContext(), kStart));
-    REQUIRE(std::get<GiveUpStep>(course.onReply(lost(), service.dispatchContext(), kStart)).status
+    CallDispatcher dispatcher{policy(true, 3)};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
+    REQUIRE(std::get<GiveUpStep>(dispatcher.onReply(lost(), service.dispatchContext(), kStart))
+                    .status
             == 502);
 }
 
@@ -151,15 +153,15 @@
 {
     TestService service{"near-1", "near-2", "near-3", "near-4", "near-5",
                         "near-6", "near-7", "near-8", "near-9", "far-1"};
-    CallCourse course{policy()};
-    auto step = course.begin(service.dispatchContext(), kStart);
+    CallDispatcher dispatcher{policy()};
+    auto step = dispatcher.begin(service.dispatchContext(), kStart);
     bool hasAskedFar = false;
     for (int i = 0; i < 6 && std::holds_alternative<OfferStep>(step); ++i) {
         const auto &offer = std::get<OfferStep>(step);
         hasAskedFar = hasAskedFar || offer.server->id == "far-1";
         auto reply = refusal(Reason::Busy);
         reply.load.waiting = 100;
-        step = course.onReply(reply, service.dispatchContext(), kStart);
+        step = dispatcher.onReply(reply, service.dispatchContext(), kStart);
     }
     REQUIRE(hasAskedFar);
 }
@@ -167,12 +169,12 @@
 TEST_CASE("Pattern: overload - few gates are offered the call late and then it is refused")
 {
     TestService service{"near-1", "near-2", "near-3", "near-4", "near-5", "near-6"};
-    CallCourse course{policy()};
-    auto step = course.begin(service.dispatchContext(), kStart);
+    CallDispatcher dispatcher{policy()};
+    auto step = dispatcher.begin(service.dispatchContext(), kStart);
     int late = 0;
     while (std::holds_alternative<OfferStep>(step)) {
         late += std::get<OfferStep>(step).mayBeLate ? 1 : 0;
-        step = course.onReply(refusal(Reason::Busy), service.dispatchContext(), kStart);
+        step = dispatcher.onReply(refusal(Reason::Busy), service.dispatchContext(), kStart);
     }
     REQUIRE(late == 4);
     const auto end = std::get<GiveUpStep>(step);
@@ -184,12 +186,12 @@
 TEST_CASE("A timeout at a gate ends as a timeout and a call without servers as not run")
 {
     TestService service{"near-1"};
-    CallCourse course{policy()};
-    static_cast<void>(course.begin(service.dispatchContext(), kStart));
-    REQUIRE(course.onTimeout(service.dispatchContext(), kStart + Millis{1200}).status == 504);
+    CallDispatcher dispatcher{policy()};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
+    REQUIRE(dispatcher.onTimeout(service.dispatchContext(), kStart + Millis{1200}).status == 504);
 
     TestService empty{};
-    CallCourse other{policy()};
+    CallDispatcher other{policy()};
     const auto end = std::get<GiveUpStep>(other.begin(empty.dispatchContext(), kStart));
     REQUIRE(end.status == 503);
     REQUIRE(end.reason == Reason::NoServer);
