--- a/src/celeryramp/engine/engine.cpp
+++ b/src/celeryramp/engine/engine.cpp
@@ -228,8 +228,8 @@
         m_coordinator.onSyncRequest(peer, *request, now);
     } else if (const auto *sync = std::get_if<proxy::SyncReplyFrame>(&frame)) {
         onSyncReply(*sync, now);
-    } else if (const auto *news = std::get_if<proxy::NewsFrame>(&frame)) {
-        onNewsFrame(peer, *news, now);
+    } else if (const auto *changesFrame = std::get_if<proxy::ChangesFrame>(&frame)) {
+        onChangesFrame(peer, *changesFrame, now);
     } else if (const auto *reader = std::get_if<proxy::ReaderFrame>(&frame)) {
         logEvent(LogLevel::Info, "engine", reader->canRead ? "reader-able" : "reader-unable",
                  {{"peer", peer.text()}});
@@ -295,15 +295,15 @@
 {
     const auto now = bootNow();
     const bool wasUnavailable = wasSourceUnavailable(now);
-    proxy::NewsFrame news{m_replica.revision(), revision, {}, {}};
+    proxy::ChangesFrame changesFrame{m_replica.revision(), revision, {}, {}};
     for (const auto &change : changes) {
         auto [delta, base] = m_replica.asDelta(change);
-        news.changes.push_back(std::move(delta));
-        news.bases.push_back(base);
+        changesFrame.changes.push_back(std::move(delta));
+        changesFrame.bases.push_back(base);
     }
     onSourceAnswered(now);
     if (!changes.empty()) {
-        m_coordinator.forwardChanges(news, now);
+        m_coordinator.forwardChanges(changesFrame, now);
     }
     onDirectoryChanged(m_replica.applyChanges(changes, revision, askedAt, wasUnavailable, now),
                        "watch", now);
@@ -332,36 +332,37 @@
     return m_coordinator.readPause(bootNow());
 }
 
-void Engine::onNewsFrame(const Address &peer, const proxy::NewsFrame &news, TimePoint now)
+void Engine::onChangesFrame(const Address &peer, const proxy::ChangesFrame &changesFrame,
+                            TimePoint now)
 {
-    if (!m_replica.isComplete() || news.revision <= m_replica.revision()) {
+    if (!m_replica.isComplete() || changesFrame.revision <= m_replica.revision()) {
         return;
     }
-    if (news.changes.empty()) {
+    if (changesFrame.changes.empty()) {
         logEvent(LogLevel::Info, "engine", "large-news",
-                 {{"peer", peer.text()}, {"revision", std::to_string(news.revision)}});
-        m_coordinator.requireRead(news.revision);
+                 {{"peer", peer.text()}, {"revision", std::to_string(changesFrame.revision)}});
+        m_coordinator.requireRead(changesFrame.revision);
         m_ports.source.resume();
         return;
     }
     std::vector<directory::ItemChange> changes;
-    for (std::size_t i = 0; i < news.changes.size() && i < news.bases.size(); ++i) {
+    for (std::size_t i = 0; i < changesFrame.changes.size() && i < changesFrame.bases.size(); ++i) {
         // For a change that the replica already holds, the base value is no longer needed.
-        auto change = m_replica.fromDelta(news.changes[i], news.bases[i]);
+        auto change = m_replica.fromDelta(changesFrame.changes[i], changesFrame.bases[i]);
         if (!change) {
             break;
         }
         changes.push_back(std::move(*change));
     }
-    if (news.after > m_replica.revision() || changes.size() < news.changes.size()) {
+    if (changesFrame.after > m_replica.revision() || changes.size() < changesFrame.changes.size()) {
         logEvent(LogLevel::Info, "engine", "news-not-applicable",
                  {{"peer", peer.text()},
-                  {"after", std::to_string(news.after)},
+                  {"after", std::to_string(changesFrame.after)},
                   {"held", std::to_string(m_replica.revision())}});
         return;
     }
     // The frame may have been delayed on the link, so it does not show how fresh the replica is.
-    onDirectoryChanged(m_replica.applyChanges(changes, news.revision, TimePoint{},
+    onDirectoryChanged(m_replica.applyChanges(changes, changesFrame.revision, TimePoint{},
                                               wasSourceUnavailable(now), now),
                        "reader", now);
 }
--- a/src/celeryramp/engine/engine.h
+++ b/src/celeryramp/engine/engine.h
@@ -72,7 +72,8 @@
 
 private:
     void tick();
-    void onNewsFrame(const Address &peer, const proxy::NewsFrame &news, TimePoint now);
+    void onChangesFrame(const Address &peer, const proxy::ChangesFrame &changesFrame,
+                        TimePoint now);
     void onSyncReply(const proxy::SyncReplyFrame &reply, TimePoint now);
     /*! @brief Logs changes of the replica and passes a new view to the gate. */
     void onDirectoryChanged(const std::vector<directory::ReplicaEvent> &beliefs, const char *source,
--- a/src/celeryramp/engine/peer_coordinator.cpp
+++ b/src/celeryramp/engine/peer_coordinator.cpp
@@ -150,11 +150,12 @@
     }
 }
 
-void PeerCoordinator::forwardChanges(const proxy::NewsFrame &news, TimePoint now)
+void PeerCoordinator::forwardChanges(const proxy::ChangesFrame &changesFrame, TimePoint now)
 {
-    auto frame = proxy::encodeFrame(news);
+    auto frame = proxy::encodeFrame(changesFrame);
     if (frame.size() > internal::kMaxForwardedBytes) {
-        frame = proxy::encodeFrame(proxy::NewsFrame{news.after, news.revision, {}, {}});
+        frame = proxy::encodeFrame(
+                proxy::ChangesFrame{changesFrame.after, changesFrame.revision, {}, {}});
     }
     for (const auto &node : nodesInZone(m_settings.zone)) {
         // Failed nodes are tried by `probeFailedNodes` and catch up when they are back.
--- a/src/celeryramp/engine/peer_coordinator.h
+++ b/src/celeryramp/engine/peer_coordinator.h
@@ -56,7 +56,7 @@
     }
     /*! @brief Forwards changes that this node has read to its zone, or announces them if they are
      * too large. */
-    void forwardChanges(const proxy::NewsFrame &news, TimePoint now);
+    void forwardChanges(const proxy::ChangesFrame &changesFrame, TimePoint now);
     /*! @brief Sends a frame to all nodes of all zones. */
     void broadcast(const proxy::Frame &frame, TimePoint now);
     /*! @brief Requests the state after this node's revision from a peer. */
--- a/src/celeryramp/proxy/frame_codec.cpp
+++ b/src/celeryramp/proxy/frame_codec.cpp
@@ -245,7 +245,7 @@
                         json.at(3).get<std::uint64_t>()};
 }
 
-void append(Json &out, const NewsFrame &frame)
+void append(Json &out, const ChangesFrame &frame)
 {
     out.push_back(frame.after);
     out.push_back(frame.revision);
@@ -260,7 +260,7 @@
 
 [[nodiscard]] Frame readNews(const Json &json)
 {
-    NewsFrame frame;
+    ChangesFrame frame;
     frame.after = json.at(1).get<std::int64_t>();
     frame.revision = json.at(2).get<std::int64_t>();
     for (std::size_t i = 3; i + 3 < json.size(); i += 4) {
--- a/src/celeryramp/proxy/frames.h
+++ b/src/celeryramp/proxy/frames.h
@@ -124,7 +124,7 @@
 
 /*! @brief Directory changes that a node has read from the platform, for the nodes of its zone.
  * Without changes it announces a revision whose changes are too large to send. */
-struct NewsFrame
+struct ChangesFrame
 {
     std::int64_t after = 0; /*!< Revision that the changes apply to. */
     std::int64_t revision = 0;
@@ -149,6 +149,6 @@
 
 using Frame
         = std::variant<CallFrame, ReplyFrame, CancelFrame, LeavingFrame, UsageFrame, LevelsFrame,
-                       SyncRequestFrame, SyncReplyFrame, SuspectFrame, NewsFrame, ReaderFrame>;
+                       SyncRequestFrame, SyncReplyFrame, SuspectFrame, ChangesFrame, ReaderFrame>;
 
 } // namespace celeryramp::proxy
--- a/test/proxy/frame_codec.cpp
+++ b/test/proxy/frame_codec.cpp
@@ -49,9 +49,9 @@
 
 TEST_CASE("Removed and empty items are distinct after encoding and decoding")
 {
-    NewsFrame news{4, 6, {{"a", "", 5, true}, {"b", "x", 6, false}}, {}};
-    const auto decoded = decodeFrame(encodeFrame(news));
-    const auto &back = std::get<NewsFrame>(decoded.value());
+    ChangesFrame changesFrame{4, 6, {{"a", "", 5, true}, {"b", "x", 6, false}}, {}};
+    const auto decoded = decodeFrame(encodeFrame(changesFrame));
+    const auto &back = std::get<ChangesFrame>(decoded.value());
     REQUIRE(back.after == 4);
     REQUIRE(back.changes.at(0).isRemoved);
     REQUIRE_FALSE(back.changes.at(1).isRemoved);
