--- a/src/celeryramp/engine/engine.cpp
+++ b/src/celeryramp/engine/engine.cpp
@@ -230,10 +230,10 @@
         onSyncReply(*sync, now);
     } else if (const auto *changesFrame = std::get_if<proxy::ChangesFrame>(&frame)) {
         onChangesFrame(peer, *changesFrame, now);
-    } else if (const auto *reader = std::get_if<proxy::ReaderFrame>(&frame)) {
-        logEvent(LogLevel::Info, "engine", reader->canRead ? "reader-able" : "reader-unable",
+    } else if (const auto *readerStatus = std::get_if<proxy::ReaderStatusFrame>(&frame)) {
+        logEvent(LogLevel::Info, "engine", readerStatus->canRead ? "reader-able" : "reader-unable",
                  {{"peer", peer.text()}});
-        m_coordinator.onReaderStatus(peer, reader->canRead, now);
+        m_coordinator.onReaderStatus(peer, readerStatus->canRead, now);
         if (m_coordinator.readPause(now)) {
             m_ports.source.resume();
         }
--- a/src/celeryramp/engine/peer_coordinator.cpp
+++ b/src/celeryramp/engine/peer_coordinator.cpp
@@ -137,7 +137,7 @@
     }
     onReaderStatus(m_settings.links, canRead, now);
     for (const auto &node : nodesInZone(m_settings.zone)) {
-        send(node, proxy::ReaderFrame{canRead}, now);
+        send(node, proxy::ReaderStatusFrame{canRead}, now);
     }
 }
 
@@ -203,7 +203,7 @@
         // One node per zone and round, since attempts would add up when a large zone is down.
         if (!nodes.empty()) {
             send(nodes[m_random.below(nodes.size())],
-                 proxy::ReaderFrame{!hasReadFailed(m_settings.links.host, now)}, now);
+                 proxy::ReaderStatusFrame{!hasReadFailed(m_settings.links.host, now)}, now);
         }
     }
 }
--- a/src/celeryramp/proxy/frame_codec.cpp
+++ b/src/celeryramp/proxy/frame_codec.cpp
@@ -273,14 +273,14 @@
     return frame;
 }
 
-void append(Json &out, const ReaderFrame &frame)
+void append(Json &out, const ReaderStatusFrame &frame)
 {
     out.push_back(frame.canRead);
 }
 
 [[nodiscard]] Frame readReader(const Json &json)
 {
-    return ReaderFrame{json.at(1).get<bool>()};
+    return ReaderStatusFrame{json.at(1).get<bool>()};
 }
 
 using ReadFrame = Frame (*)(const Json &);
--- a/src/celeryramp/proxy/frames.h
+++ b/src/celeryramp/proxy/frames.h
@@ -142,13 +142,13 @@
 };
 
 /*! @brief Announces whether the sending node can read the platform. */
-struct ReaderFrame
+struct ReaderStatusFrame
 {
     bool canRead = false;
 };
 
-using Frame
-        = std::variant<CallFrame, ReplyFrame, CancelFrame, LeavingFrame, UsageFrame, LevelsFrame,
-                       SyncRequestFrame, SyncReplyFrame, SuspectFrame, ChangesFrame, ReaderFrame>;
+using Frame = std::variant<CallFrame, ReplyFrame, CancelFrame, LeavingFrame, UsageFrame,
+                           LevelsFrame, SyncRequestFrame, SyncReplyFrame, SuspectFrame,
+                           ChangesFrame, ReaderStatusFrame>;
 
 } // namespace celeryramp::proxy
