--- a/src/celeryramp/engine/backend_gate.cpp
+++ b/src/celeryramp/engine/backend_gate.cpp
@@ -172,7 +172,7 @@
     call.handedOverAt = now;
     if (left < internal::kMinServerTime) {
         finish(ticket, proxy::notRunReply(call.frame.id, proxy::Reason::DeadlinePassed),
-               proxy::HandoverEnd::NotSent, now);
+               proxy::HandoverOutcome::NotSent, now);
         return;
     }
     http::Exchange exchange;
@@ -202,14 +202,14 @@
     const auto now = bootNow();
     proxy::ReplyFrame reply;
     reply.id = it->second.frame.id;
-    auto handover = proxy::HandoverEnd::Failed;
+    auto handover = proxy::HandoverOutcome::Failed;
     switch (end) {
     case http::ExchangeEnd::Answered: {
         const auto facts = m_dialect.readAnswer(answer);
         if (facts.isOtherServer) {
             reply.kind = proxy::ReplyKind::NotRun;
             reply.reason = proxy::Reason::WrongServer;
-            handover = proxy::HandoverEnd::NotSent;
+            handover = proxy::HandoverOutcome::NotSent;
         } else if (facts.isNotRun) {
             reply.kind = proxy::ReplyKind::NotRun;
             reply.reason = proxy::Reason::Shed;
@@ -220,7 +220,7 @@
         } else {
             reply.kind = proxy::ReplyKind::Answer;
             if (answer.status < internal::kServerError) {
-                handover = proxy::HandoverEnd::Served;
+                handover = proxy::HandoverOutcome::Served;
             }
             http::eraseHopByHop(answer.headers);
             reply.answer = std::move(answer);
@@ -258,12 +258,12 @@
     if (it == m_calls.end()) {
         return;
     }
-    finish(ticket, proxy::notRunReply(it->second.frame.id, reason), proxy::HandoverEnd::NotSent,
+    finish(ticket, proxy::notRunReply(it->second.frame.id, reason), proxy::HandoverOutcome::NotSent,
            now);
 }
 
-void BackendGate::finish(std::uint64_t ticket, proxy::ReplyFrame reply, proxy::HandoverEnd end,
-                         TimePoint now)
+void BackendGate::finish(std::uint64_t ticket, proxy::ReplyFrame reply,
+                         proxy::HandoverOutcome outcome, TimePoint now)
 {
     const auto it = m_calls.find(ticket);
     if (it == m_calls.end()) {
@@ -273,7 +273,8 @@
     m_calls.erase(it);
     m_ticketsByCallId.erase({call.origin, call.frame.id});
     if (call.isRunning) {
-        m_admission.finished(end, std::chrono::duration_cast<Micros>(now - call.handedOverAt), now);
+        m_admission.finished(outcome, std::chrono::duration_cast<Micros>(now - call.handedOverAt),
+                             now);
     }
     reply.load = m_admission.load(now);
     logGateEnd(call.frame, reply, m_server.id, millisBetween(call.arrivedAt, now),
@@ -299,7 +300,7 @@
     if (!call.isRunning) {
         m_admission.cancel(ticket);
     } else {
-        m_admission.finished(proxy::HandoverEnd::Cancelled,
+        m_admission.finished(proxy::HandoverOutcome::Cancelled,
                              std::chrono::duration_cast<Micros>(now - call.handedOverAt), now);
         if (call.connection) {
             call.connection->cancel();
--- a/src/celeryramp/engine/backend_gate.h
+++ b/src/celeryramp/engine/backend_gate.h
@@ -89,7 +89,7 @@
     void sendToServer(std::uint64_t ticket, TimePoint now);
     void onExchangeEnd(std::uint64_t ticket, http::ExchangeEnd end, http::Answer answer);
     void refuse(std::uint64_t ticket, proxy::Reason reason, TimePoint now);
-    void finish(std::uint64_t ticket, proxy::ReplyFrame reply, proxy::HandoverEnd end,
+    void finish(std::uint64_t ticket, proxy::ReplyFrame reply, proxy::HandoverOutcome outcome,
                 TimePoint now);
     void armExpiryTimer();
     /*! @brief Treats the server as cold until a health probe reports its state. */
--- a/src/celeryramp/proxy/server_gate.cpp
+++ b/src/celeryramp/proxy/server_gate.cpp
@@ -151,20 +151,20 @@
             * std::exp(-secondsBetween(m_timelyUtilizationAt, now) / internal::kUtilizationSeconds);
 }
 
-void ServerGate::finished(HandoverEnd end, Micros spent, TimePoint now)
+void ServerGate::finished(HandoverOutcome outcome, Micros spent, TimePoint now)
 {
     m_running = std::max(0, m_running - 1);
     const double millis = static_cast<double>(spent.count()) / 1000.0;
-    const bool isHung
-            = end == HandoverEnd::Cancelled && millis > m_serviceMillis * internal::kHungFactor;
-    if (end == HandoverEnd::Served
-        || (end == HandoverEnd::Cancelled && !isHung && millis > m_serviceMillis)) {
+    const bool isHung = outcome == HandoverOutcome::Cancelled
+            && millis > m_serviceMillis * internal::kHungFactor;
+    if (outcome == HandoverOutcome::Served
+        || (outcome == HandoverOutcome::Cancelled && !isHung && millis > m_serviceMillis)) {
         m_serviceMillis += internal::kServiceWeight * (millis - m_serviceMillis);
     }
-    if (end == HandoverEnd::NotSent || (end == HandoverEnd::Cancelled && !isHung)) {
+    if (outcome == HandoverOutcome::NotSent || (outcome == HandoverOutcome::Cancelled && !isHung)) {
         return;
     }
-    const double failure = end == HandoverEnd::Failed || isHung ? 1.0 : 0.0;
+    const double failure = outcome == HandoverOutcome::Failed || isHung ? 1.0 : 0.0;
     m_failureShare = failureShare(now) + internal::kFailureWeight * (failure - failureShare(now));
     m_failureShareAt = now;
 }
--- a/src/celeryramp/proxy/server_gate.h
+++ b/src/celeryramp/proxy/server_gate.h
@@ -8,7 +8,7 @@
 #include "core/time.h"
 #include "proxy/cold_start_limiter.h"
 #include "proxy/gate_load.h"
-#include "proxy/handover_end.h"
+#include "proxy/handover_outcome.h"
 #include "proxy/reason.h"
 
 namespace celeryramp::proxy {
@@ -67,7 +67,7 @@
     [[nodiscard]] std::vector<GateRefusal> expire(TimePoint now);
 
     /*! @brief Records the end of a running call. @param spent Time since it was handed over. */
-    void finished(HandoverEnd end, Micros spent, TimePoint now);
+    void finished(HandoverOutcome outcome, Micros spent, TimePoint now);
 
     /*! @brief Removes a queued call. @return False if it was not in the queue. */
     bool cancel(std::uint64_t ticket);
--- a/test/proxy/server_gate.cpp
+++ b/test/proxy/server_gate.cpp
@@ -38,7 +38,7 @@
         ++started;
     }
     REQUIRE(started == 3);
-    gate.finished(HandoverEnd::Served, Micros{90'000}, kStart);
+    gate.finished(HandoverOutcome::Served, Micros{90'000}, kStart);
     REQUIRE(gate.next(kStart));
     REQUIRE_FALSE(gate.next(kStart));
 }
@@ -54,7 +54,7 @@
     std::vector<std::uint64_t> order;
     while (const auto ticket = gate.next(kStart)) {
         order.push_back(*ticket);
-        gate.finished(HandoverEnd::NotSent, Micros{0}, kStart);
+        gate.finished(HandoverOutcome::NotSent, Micros{0}, kStart);
     }
     REQUIRE(order == std::vector<std::uint64_t>{5, 4, 3, 2, 1});
 }
@@ -108,7 +108,7 @@
                 gate.offer(call(ticket++, 0, Millis{500}, Millis{1500}, false, now), now));
         while (gate.next(now)) {
             handed.push_back(now);
-            gate.finished(HandoverEnd::Served, Micros{5000}, now);
+            gate.finished(HandoverOutcome::Served, Micros{5000}, now);
         }
     }
     REQUIRE(handed.size() >= 25);
@@ -169,7 +169,7 @@
         REQUIRE(gate.offer(call(i, 0), kStart) == Reason::None);
     }
     REQUIRE(gate.offer(call(20, 2, Millis{150}, Millis{500}, true), kStart) == Reason::None);
-    gate.finished(HandoverEnd::Served, Micros{100'000}, kStart);
+    gate.finished(HandoverOutcome::Served, Micros{100'000}, kStart);
     REQUIRE(*gate.next(kStart) == 20);
 }
 
@@ -185,7 +185,7 @@
         now = kStart + Millis{ms};
         while (!ends.empty() && ends.front() <= now) {
             ends.pop_front();
-            gate.finished(HandoverEnd::Served, Micros{100'000}, now);
+            gate.finished(HandoverOutcome::Served, Micros{100'000}, now);
         }
         static_cast<void>(gate.offer(
                 {ticket++, 0, false, false, now, now + Millis{400}, now + Millis{1500}}, now));
@@ -211,7 +211,7 @@
     }
     now += Millis{1500};
     for (int i = 0; i < 16; ++i) {
-        gate.finished(HandoverEnd::Cancelled, Micros{1'500'000}, now);
+        gate.finished(HandoverOutcome::Cancelled, Micros{1'500'000}, now);
     }
     REQUIRE(gate.load(now).badPercent > 50);
     SECTION("and from calls that were served late")
@@ -220,7 +220,7 @@
             REQUIRE(gate.offer(call(i, 0, Millis{500}, Millis{1500}, false, now), now)
                     == Reason::None);
             REQUIRE(gate.next(now));
-            gate.finished(HandoverEnd::Served, Micros{1'200'000}, now);
+            gate.finished(HandoverOutcome::Served, Micros{1'200'000}, now);
         }
         REQUIRE(gate.load(now).serviceMillis > 900);
     }
@@ -234,7 +234,7 @@
         REQUIRE(gate.next(kStart));
     }
     for (int i = 0; i < 16; ++i) {
-        gate.finished(HandoverEnd::Cancelled, Micros{50'000}, kStart + Millis{50});
+        gate.finished(HandoverOutcome::Cancelled, Micros{50'000}, kStart + Millis{50});
     }
     REQUIRE(gate.load(kStart + Millis{50}).serviceMillis == 100);
     REQUIRE(gate.load(kStart + Millis{50}).badPercent == 0);
@@ -248,7 +248,8 @@
         now += Millis{20};
         REQUIRE(gate.offer(call(i, 0, Millis{500}, Millis{1500}, false, now), now) == Reason::None);
         REQUIRE(gate.next(now));
-        gate.finished(i % 2 == 0 ? HandoverEnd::Failed : HandoverEnd::Served, Micros{10'000}, now);
+        gate.finished(i % 2 == 0 ? HandoverOutcome::Failed : HandoverOutcome::Served,
+                      Micros{10'000}, now);
     }
     const auto failurePercent = gate.load(now).badPercent;
     REQUIRE(failurePercent > 30);
@@ -276,7 +277,7 @@
         }
         while (const auto next = gate.next(now)) {
             nestedServed += *next > 1'000'000 ? 1 : 0;
-            gate.finished(HandoverEnd::Served, Micros{100'000}, now);
+            gate.finished(HandoverOutcome::Served, Micros{100'000}, now);
         }
         static_cast<void>(gate.expire(now));
     }
