--- a/src/celeryramp/engine/backend_gate.cpp
+++ b/src/celeryramp/engine/backend_gate.cpp
@@ -88,7 +88,7 @@
 
 void BackendGate::updateClosed(TimePoint now)
 {
-    const auto before = m_admission.closed();
+    const auto before = m_admission.closedReason();
     const auto closed = closedReason();
     m_admission.setClosed(closed);
     if (before == proxy::Reason::Evacuated && closed == proxy::Reason::None) {
@@ -117,7 +117,7 @@
     held.frame = std::move(call);
     const auto &frame = held.frame;
     m_ticketsByCallId[{origin, frame.id}] = ticket;
-    auto reason = m_admission.closed();
+    auto reason = m_admission.closedReason();
     if (reason == proxy::Reason::None && frame.serverId != m_server.id) {
         reason = proxy::Reason::WrongServer;
     }
--- a/src/celeryramp/proxy/server_gate.h
+++ b/src/celeryramp/proxy/server_gate.h
@@ -51,7 +51,7 @@
 
     /*! @brief Refuses all calls with this reason from now on; `None` reopens the gate. */
     void setClosed(Reason reason) noexcept { m_closedReason = reason; }
-    [[nodiscard]] Reason closed() const noexcept { return m_closedReason; }
+    [[nodiscard]] Reason closedReason() const noexcept { return m_closedReason; }
 
     [[nodiscard]] ColdStartLimiter &cold() noexcept { return m_cold; }
 
