--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -83,7 +83,7 @@
               {"version", std::to_string(view->routing ? view->routing->version() : 0)},
               {"revision", std::to_string(m_dependencies.replica.revision())},
               {"age_ms", std::to_string(m_dependencies.replica.age(bootNow()).count())}});
-    connection->answer(m_dependencies.dialect.ownAnswer({status, reason, requestId, retryAfter}),
+    connection->answer(m_dependencies.dialect.localAnswer({status, reason, requestId, retryAfter}),
                        false);
 }
 
@@ -297,7 +297,7 @@
 void RequestDispatcher::giveUp(Call &call, const proxy::GiveUpStep &step, TimePoint now)
 {
     answer(call,
-           m_dependencies.dialect.ownAnswer(
+           m_dependencies.dialect.localAnswer(
                    {step.status, step.reason, call.frame.requestId, step.retryAfter}),
            step.reason, now);
 }
--- a/src/celeryramp/proxy/dialect.h
+++ b/src/celeryramp/proxy/dialect.h
@@ -31,7 +31,7 @@
 };
 
 /*! @brief An answer that the node generates itself. */
-struct OwnAnswer
+struct LocalAnswer
 {
     int status = 503;
     Reason reason = Reason::None;
@@ -54,7 +54,7 @@
     /*! @return The request for the server. @param left Time left until the deadline. */
     [[nodiscard]] virtual http::Request toServer(const CallFrame &call, Millis left) const = 0;
     [[nodiscard]] virtual AnswerFacts readAnswer(const http::Answer &answer) const = 0;
-    [[nodiscard]] virtual http::Answer ownAnswer(const OwnAnswer &answer) const = 0;
+    [[nodiscard]] virtual http::Answer localAnswer(const LocalAnswer &answer) const = 0;
     /*! @return A health check request for a server of this service. */
     [[nodiscard]] virtual http::Request healthProbe(const directory::Service &service) const = 0;
 };
--- a/test/platform/header_dialect.cpp
+++ b/test/platform/header_dialect.cpp
@@ -70,7 +70,7 @@
 TEST_CASE("Responses of the mesh carry the request id and Retry-After in seconds")
 {
     const HeaderDialect dialect;
-    const auto answer = dialect.ownAnswer({503, proxy::Reason::Busy, "r1", Millis{250}});
+    const auto answer = dialect.localAnswer({503, proxy::Reason::Busy, "r1", Millis{250}});
     REQUIRE(http::findHeader(answer.headers, "Retry-After") == "0.250");
     REQUIRE(http::findHeader(answer.headers, "Attempt-Id") == "r1");
     REQUIRE(http::countHeaders(answer.headers, "Server-Stamp") == 0);
--- a/test/support/test_dialect.cpp
+++ b/test/support/test_dialect.cpp
@@ -40,11 +40,11 @@
     return facts;
 }
 
-http::Answer TestDialect::ownAnswer(const proxy::OwnAnswer &own) const
+http::Answer TestDialect::localAnswer(const proxy::LocalAnswer &local) const
 {
     http::Answer answer;
-    answer.status = own.status;
-    answer.headers.push_back({"T-Reason", std::string{proxy::reasonName(own.reason)}});
+    answer.status = local.status;
+    answer.headers.push_back({"T-Reason", std::string{proxy::reasonName(local.reason)}});
     return answer;
 }
 
