--- a/src/celeryramp/engine/backend_gate.cpp
+++ b/src/celeryramp/engine/backend_gate.cpp
@@ -179,8 +179,8 @@
     exchange.wire = http::serialize(m_dialect.toServer(call.frame, left));
     exchange.isHead = call.frame.request.method == "HEAD";
     exchange.isOurs = [this, id = call.frame.requestId](const http::Answer &answer) {
-        const auto facts = m_dialect.readAnswer(answer);
-        return facts.requestId.empty() ? !facts.isSigned : facts.requestId == id;
+        const auto metadata = m_dialect.readAnswer(answer);
+        return metadata.requestId.empty() ? !metadata.isSigned : metadata.requestId == id;
     };
     exchange.done = [this, ticket](http::ExchangeEnd end, http::Answer answer) {
         onExchangeEnd(ticket, end, std::move(answer));
@@ -205,16 +205,16 @@
     auto handover = proxy::HandoverOutcome::Failed;
     switch (end) {
     case http::ExchangeEnd::Answered: {
-        const auto facts = m_dialect.readAnswer(answer);
-        if (facts.isOtherServer) {
+        const auto metadata = m_dialect.readAnswer(answer);
+        if (metadata.isOtherServer) {
             reply.kind = proxy::ReplyKind::NotRun;
             reply.reason = proxy::Reason::WrongServer;
             handover = proxy::HandoverOutcome::NotSent;
-        } else if (facts.isNotRun) {
+        } else if (metadata.isNotRun) {
             reply.kind = proxy::ReplyKind::NotRun;
             reply.reason = proxy::Reason::Shed;
             reply.reachedServer = true;
-        } else if (answer.status < 300 && !facts.isSigned) {
+        } else if (answer.status < 300 && !metadata.isSigned) {
             reply.kind = proxy::ReplyKind::Failed;
             reply.reason = proxy::Reason::Malformed;
         } else {
@@ -374,13 +374,13 @@
         if (end != http::ExchangeEnd::Answered) {
             return;
         }
-        const auto facts = m_dialect.readAnswer(answer);
-        if (answer.status != 200 || facts.serverId != m_server.id) {
+        const auto metadata = m_dialect.readAnswer(answer);
+        if (answer.status != 200 || metadata.serverId != m_server.id) {
             return;
         }
         const auto answeredAt = bootNow();
         m_needsProbe = false;
-        const auto cold = facts.coldFor.value_or(Millis{0});
+        const auto cold = metadata.coldFor.value_or(Millis{0});
         if (cold.count() > 0) {
             m_admission.cold().markCold(answeredAt + cold);
         } else {
--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -91,10 +91,10 @@
                                   http::Request request)
 {
     const auto now = bootNow();
-    const auto facts = m_dependencies.dialect.readCaller(request.headers);
+    const auto metadata = m_dependencies.dialect.readCaller(request.headers);
     const auto &view = m_dependencies.replica.view();
     if (!view->routing) {
-        refuseRequest(connection, facts.requestId, 503, proxy::Reason::NoConfiguration,
+        refuseRequest(connection, metadata.requestId, 503, proxy::Reason::NoConfiguration,
                       internal::kRetryAfter);
         return;
     }
@@ -104,25 +104,25 @@
             = routing.findRoute(internal::normalizeHost(http::findHeader(request.headers, "Host")),
                                 target.substr(0, target.find('?')));
     if (route == nullptr) {
-        refuseRequest(connection, facts.requestId, 404, proxy::Reason::NoRoute, std::nullopt);
+        refuseRequest(connection, metadata.requestId, 404, proxy::Reason::NoRoute, std::nullopt);
         return;
     }
-    if (facts.requestId.empty()) {
-        refuseRequest(connection, facts.requestId, 400, proxy::Reason::BadRequest, std::nullopt);
+    if (metadata.requestId.empty()) {
+        refuseRequest(connection, metadata.requestId, 400, proxy::Reason::BadRequest, std::nullopt);
         return;
     }
     const directory::ClientAccount *account = nullptr;
-    if (routing.needsKeys() && facts.key) {
-        account = routing.findAccountByKey(*facts.key);
+    if (routing.needsKeys() && metadata.key) {
+        account = routing.findAccountByKey(*metadata.key);
     }
     if (routing.needsKeys() && !route->isOpen) {
         if (m_dependencies.replica.age(now) > m_dependencies.settings.keyFreshness) {
-            refuseRequest(connection, facts.requestId, 503, proxy::Reason::StaleKeys,
+            refuseRequest(connection, metadata.requestId, 503, proxy::Reason::StaleKeys,
                           internal::kRetryAfter);
             return;
         }
         if (account == nullptr) {
-            refuseRequest(connection, facts.requestId, 401, proxy::Reason::UnknownKey,
+            refuseRequest(connection, metadata.requestId, 401, proxy::Reason::UnknownKey,
                           std::nullopt);
             return;
         }
@@ -130,7 +130,7 @@
     if (account != nullptr
         && !m_dependencies.limiter.admit(*account, m_dependencies.coordinator.nodeCount(),
                                          m_random.unit(), now)) {
-        refuseRequest(connection, facts.requestId, 429, proxy::Reason::OverLimit,
+        refuseRequest(connection, metadata.requestId, 429, proxy::Reason::OverLimit,
                       internal::kRetryAfter, account->name,
                       m_dependencies.limiter.describe(*account, now));
         return;
@@ -138,7 +138,8 @@
     if (!m_dependencies.crashes.isEmpty()
         && m_dependencies.crashes.isQuarantined(
                 proxy::requestDigest(account != nullptr ? account->name : "", request), now)) {
-        refuseRequest(connection, facts.requestId, 503, proxy::Reason::Quarantined, std::nullopt);
+        refuseRequest(connection, metadata.requestId, 503, proxy::Reason::Quarantined,
+                      std::nullopt);
         return;
     }
     const auto id = m_nextId++;
@@ -148,8 +149,8 @@
     policy.maxAttempts = route->maxAttempts;
     policy.target
             = now + (route->targetLatency.count() > 0 ? route->targetLatency : route->timeout);
-    policy.deadline
-            = now + std::min(facts.deadline.value_or(internal::kDefaultDeadline), route->timeout);
+    policy.deadline = now
+            + std::min(metadata.deadline.value_or(internal::kDefaultDeadline), route->timeout);
     policy.maySpill = request.body.size() + m_answerSizes.expected(route->name)
             <= proxy::spillAllowance(route->priority);
     m_retryBudget.onFirstAttempt(policy.service);
@@ -165,7 +166,7 @@
                                       nullptr})
                          .first->second;
     call.frame.id = id;
-    call.frame.requestId = facts.requestId;
+    call.frame.requestId = metadata.requestId;
     call.frame.service = call.dispatcher.policy().service;
     call.frame.account = account != nullptr ? account->name : "";
     call.frame.callerService = m_dependencies.settings.service;
--- a/src/celeryramp/proxy/dialect.h
+++ b/src/celeryramp/proxy/dialect.h
@@ -12,7 +12,7 @@
 namespace celeryramp::proxy {
 
 /*! @brief Metadata in the headers of a caller's request. */
-struct CallerFacts
+struct CallerMetadata
 {
     std::string requestId; /*!< Empty if there is none. */
     std::optional<Millis> deadline; /*!< Time that the caller waits for an answer. */
@@ -20,7 +20,7 @@
 };
 
 /*! @brief Metadata in the headers and the status of a server's answer. */
-struct AnswerFacts
+struct AnswerMetadata
 {
     std::string requestId; /*!< Request that it answers; empty if not given. */
     std::string serverId; /*!< Server that answered; empty if not given. */
@@ -48,12 +48,12 @@
     Dialect &operator=(const Dialect &) = delete;
     virtual ~Dialect() = default;
 
-    [[nodiscard]] virtual CallerFacts readCaller(const http::Headers &headers) const = 0;
+    [[nodiscard]] virtual CallerMetadata readCaller(const http::Headers &headers) const = 0;
     /*! @brief Removes the headers that only the mesh may send to a server, and the caller's key. */
     virtual void stripCaller(http::Headers &headers) const = 0;
     /*! @return The request for the server. @param left Time left until the deadline. */
     [[nodiscard]] virtual http::Request toServer(const CallFrame &call, Millis left) const = 0;
-    [[nodiscard]] virtual AnswerFacts readAnswer(const http::Answer &answer) const = 0;
+    [[nodiscard]] virtual AnswerMetadata readAnswer(const http::Answer &answer) const = 0;
     [[nodiscard]] virtual http::Answer localAnswer(const LocalAnswer &answer) const = 0;
     /*! @return A health check request for a server of this service. */
     [[nodiscard]] virtual http::Request healthProbe(const directory::Service &service) const = 0;
--- a/test/platform/header_dialect.cpp
+++ b/test/platform/header_dialect.cpp
@@ -8,11 +8,11 @@
 TEST_CASE("Caller headers are parsed and invalid values are ignored")
 {
     const HeaderDialect dialect;
-    const auto facts = dialect.readCaller(
+    const auto metadata = dialect.readCaller(
             {{"attempt-id", "r1"}, {"Deadline-Ms", "1200"}, {"Authorization", "bearer k1"}});
-    REQUIRE(facts.requestId == "r1");
-    REQUIRE(facts.deadline == Millis{1200});
-    REQUIRE(facts.key == "k1");
+    REQUIRE(metadata.requestId == "r1");
+    REQUIRE(metadata.deadline == Millis{1200});
+    REQUIRE(metadata.key == "k1");
     const auto none = dialect.readCaller({{"Deadline-Ms", "-4"}, {"Authorization", "Basic k1"}});
     REQUIRE(none.requestId.empty());
     REQUIRE_FALSE(none.deadline);
--- a/test/support/test_dialect.cpp
+++ b/test/support/test_dialect.cpp
@@ -2,17 +2,17 @@
 
 namespace celeryramp::test {
 
-proxy::CallerFacts TestDialect::readCaller(const http::Headers &headers) const
+proxy::CallerMetadata TestDialect::readCaller(const http::Headers &headers) const
 {
-    proxy::CallerFacts facts;
-    facts.requestId = http::findHeader(headers, "T-Request");
+    proxy::CallerMetadata metadata;
+    metadata.requestId = http::findHeader(headers, "T-Request");
     if (const auto text = http::findHeader(headers, "T-Deadline"); !text.empty()) {
-        facts.deadline = Millis{std::stol(std::string{text})};
+        metadata.deadline = Millis{std::stol(std::string{text})};
     }
     if (const auto key = http::findHeader(headers, "T-Key"); !key.empty()) {
-        facts.key = std::string{key};
+        metadata.key = std::string{key};
     }
-    return facts;
+    return metadata;
 }
 
 void TestDialect::stripCaller(http::Headers &headers) const
@@ -30,14 +30,14 @@
     return request;
 }
 
-proxy::AnswerFacts TestDialect::readAnswer(const http::Answer &answer) const
+proxy::AnswerMetadata TestDialect::readAnswer(const http::Answer &answer) const
 {
-    proxy::AnswerFacts facts;
-    facts.requestId = http::findHeader(answer.headers, "T-Request");
-    facts.serverId = http::findHeader(answer.headers, "T-Server");
-    facts.isSigned = http::countHeaders(answer.headers, "T-Signed") > 0;
-    facts.isNotRun = http::countHeaders(answer.headers, "T-Not-Run") > 0;
-    return facts;
+    proxy::AnswerMetadata metadata;
+    metadata.requestId = http::findHeader(answer.headers, "T-Request");
+    metadata.serverId = http::findHeader(answer.headers, "T-Server");
+    metadata.isSigned = http::countHeaders(answer.headers, "T-Signed") > 0;
+    metadata.isNotRun = http::countHeaders(answer.headers, "T-Not-Run") > 0;
+    return metadata;
 }
 
 http::Answer TestDialect::localAnswer(const proxy::LocalAnswer &local) const
