--- a/src/celeryramp/engine/backend_gate.cpp
+++ b/src/celeryramp/engine/backend_gate.cpp
@@ -28,11 +28,11 @@
 } // namespace internal
 
 BackendGate::BackendGate(boost::asio::io_context &context, const EngineSettings &settings,
-                         const proxy::Dialect &dialect, proxy::CrashRegistry &crashes,
+                         const proxy::HeaderAdapter &headerAdapter, proxy::CrashRegistry &crashes,
                          MetricsRegistry &metrics)
-    : m_startedAt{bootNow()}, m_expiryTimer{context}, m_settings{settings}, m_dialect{dialect},
-      m_crashes{crashes}, m_metrics{metrics}, m_pool{context, settings.backend,
-                                                     http::PoolSettings{internal::kConnectTimeout}}
+    : m_startedAt{bootNow()}, m_expiryTimer{context}, m_settings{settings},
+      m_headerAdapter{headerAdapter}, m_crashes{crashes}, m_metrics{metrics},
+      m_pool{context, settings.backend, http::PoolSettings{internal::kConnectTimeout}}
 { }
 
 proxy::Reason BackendGate::closedReason() const
@@ -176,10 +176,10 @@
         return;
     }
     http::Exchange exchange;
-    exchange.wire = http::serialize(m_dialect.toServer(call.frame, left));
+    exchange.wire = http::serialize(m_headerAdapter.toServer(call.frame, left));
     exchange.isHead = call.frame.request.method == "HEAD";
     exchange.isOurs = [this, id = call.frame.requestId](const http::Answer &answer) {
-        const auto metadata = m_dialect.readAnswer(answer);
+        const auto metadata = m_headerAdapter.readAnswer(answer);
         return metadata.requestId.empty() ? !metadata.isSigned : metadata.requestId == id;
     };
     exchange.done = [this, ticket](http::ExchangeEnd end, http::Answer answer) {
@@ -205,7 +205,7 @@
     auto handover = proxy::HandoverOutcome::Failed;
     switch (end) {
     case http::ExchangeEnd::Answered: {
-        const auto metadata = m_dialect.readAnswer(answer);
+        const auto metadata = m_headerAdapter.readAnswer(answer);
         if (metadata.isOtherServer) {
             reply.kind = proxy::ReplyKind::NotRun;
             reply.reason = proxy::Reason::WrongServer;
@@ -368,13 +368,13 @@
     m_isProbing = true;
     m_lastProbeAt = now;
     http::Exchange exchange;
-    exchange.wire = http::serialize(m_dialect.healthProbe(m_service));
+    exchange.wire = http::serialize(m_headerAdapter.healthProbe(m_service));
     exchange.done = [this](http::ExchangeEnd end, const http::Answer &answer) {
         m_isProbing = false;
         if (end != http::ExchangeEnd::Answered) {
             return;
         }
-        const auto metadata = m_dialect.readAnswer(answer);
+        const auto metadata = m_headerAdapter.readAnswer(answer);
         if (answer.status != 200 || metadata.serverId != m_server.id) {
             return;
         }
--- a/src/celeryramp/engine/backend_gate.h
+++ b/src/celeryramp/engine/backend_gate.h
@@ -16,8 +16,8 @@
 #include "http/client_pool.h"
 #include "observe/metrics_registry.h"
 #include "proxy/crash_registry.h"
-#include "proxy/dialect.h"
 #include "proxy/frames.h"
+#include "proxy/header_adapter.h"
 #include "proxy/server_gate.h"
 
 namespace celeryramp::engine {
@@ -32,7 +32,7 @@
     using Reply = std::function<void(proxy::ReplyFrame)>;
 
     BackendGate(boost::asio::io_context &context, const EngineSettings &settings,
-                const proxy::Dialect &dialect, proxy::CrashRegistry &crashes,
+                const proxy::HeaderAdapter &headerAdapter, proxy::CrashRegistry &crashes,
                 MetricsRegistry &metrics);
 
     /*!
@@ -103,7 +103,7 @@
     TimePoint m_startedAt; /*!< An earlier process on this host may have run until then. */
     boost::asio::steady_timer m_expiryTimer;
     const EngineSettings &m_settings;
-    const proxy::Dialect &m_dialect;
+    const proxy::HeaderAdapter &m_headerAdapter;
     proxy::CrashRegistry &m_crashes;
     MetricsRegistry &m_metrics;
     CrashHandler m_crashHandler;
--- a/src/celeryramp/engine/engine.cpp
+++ b/src/celeryramp/engine/engine.cpp
@@ -29,12 +29,12 @@
 Engine::Engine(boost::asio::io_context &context, EngineSettings settings, EnginePorts ports)
     : m_context{context}, m_settings{std::move(settings)}, m_ports{std::move(ports)},
       m_replica{m_ports.decoder, m_settings.lapseGrace}, m_peers{context, m_settings.links, *this},
-      m_gate{context, m_settings, m_ports.dialect, m_crashes, m_metrics},
+      m_gate{context, m_settings, m_ports.headerAdapter, m_crashes, m_metrics},
       m_coordinator{m_settings, m_peers, m_replica, m_limiter,
                     internal::randomSeed(m_settings.name)},
       m_dispatcher{context,
-                   DispatcherDependencies{m_settings, m_ports.dialect, m_replica, m_peers, m_gate,
-                                          m_coordinator, m_limiter, m_crashes, m_metrics},
+                   DispatcherDependencies{m_settings, m_ports.headerAdapter, m_replica, m_peers,
+                                          m_gate, m_coordinator, m_limiter, m_crashes, m_metrics},
                    internal::randomSeed(m_settings.name)},
       m_callerListener{context,
                        [this](boost::asio::ip::tcp::socket socket) {
--- a/src/celeryramp/engine/engine.h
+++ b/src/celeryramp/engine/engine.h
@@ -31,7 +31,7 @@
  */
 struct EnginePorts
 {
-    const proxy::Dialect &dialect;
+    const proxy::HeaderAdapter &headerAdapter;
     const directory::ItemDecoder &decoder;
     directory::ItemSource &source;
     std::string readinessPath; /*!< Served at the readiness address. */
--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -83,15 +83,16 @@
               {"version", std::to_string(view->routing ? view->routing->version() : 0)},
               {"revision", std::to_string(m_dependencies.replica.revision())},
               {"age_ms", std::to_string(m_dependencies.replica.age(bootNow()).count())}});
-    connection->answer(m_dependencies.dialect.localAnswer({status, reason, requestId, retryAfter}),
-                       false);
+    connection->answer(
+            m_dependencies.headerAdapter.localAnswer({status, reason, requestId, retryAfter}),
+            false);
 }
 
 void RequestDispatcher::onRequest(const http::CallerConnectionPtr &connection,
                                   http::Request request)
 {
     const auto now = bootNow();
-    const auto metadata = m_dependencies.dialect.readCaller(request.headers);
+    const auto metadata = m_dependencies.headerAdapter.readCaller(request.headers);
     const auto &view = m_dependencies.replica.view();
     if (!view->routing) {
         refuseRequest(connection, metadata.requestId, 503, proxy::Reason::NoConfiguration,
@@ -181,7 +182,7 @@
     }
     call.frame.request = std::move(request);
     http::eraseHopByHop(call.frame.request.headers);
-    m_dependencies.dialect.stripCaller(call.frame.request.headers);
+    m_dependencies.headerAdapter.stripCaller(call.frame.request.headers);
     m_callIdsByConnection[connection.get()] = id;
     call.timer = std::make_unique<boost::asio::steady_timer>(m_context);
     call.timer->expires_after(call.dispatcher.policy().deadline - now);
@@ -298,7 +299,7 @@
 void RequestDispatcher::giveUp(Call &call, const proxy::GiveUpStep &step, TimePoint now)
 {
     answer(call,
-           m_dependencies.dialect.localAnswer(
+           m_dependencies.headerAdapter.localAnswer(
                    {step.status, step.reason, call.frame.requestId, step.retryAfter}),
            step.reason, now);
 }
--- a/src/celeryramp/engine/request_dispatcher.h
+++ b/src/celeryramp/engine/request_dispatcher.h
@@ -28,7 +28,7 @@
 struct DispatcherDependencies
 {
     const EngineSettings &settings;
-    const proxy::Dialect &dialect;
+    const proxy::HeaderAdapter &headerAdapter;
     directory::Replica &replica;
     links::PeerLinks &peers;
     BackendGate &gate;
--- a/src/celeryramp/proxy/fwd.h
+++ b/src/celeryramp/proxy/fwd.h
@@ -10,7 +10,7 @@
 class AnswerSizes;
 class CallDispatcher;
 struct CallFrame;
-class Dialect;
+class HeaderAdapter;
 struct GateLoad;
 class FleetLimiter;
 class ServerGate;
--- a/src/celeryramp/proxy/dialect.h
+++ b/src/celeryramp/proxy/header_adapter.h
@@ -40,13 +40,13 @@
 };
 
 /*! @brief Maps request and answer metadata to the HTTP headers of a deployment. */
-class Dialect
+class HeaderAdapter
 {
 public:
-    Dialect() = default;
-    Dialect(const Dialect &) = delete;
-    Dialect &operator=(const Dialect &) = delete;
-    virtual ~Dialect() = default;
+    HeaderAdapter() = default;
+    HeaderAdapter(const HeaderAdapter &) = delete;
+    HeaderAdapter &operator=(const HeaderAdapter &) = delete;
+    virtual ~HeaderAdapter() = default;
 
     [[nodiscard]] virtual CallerMetadata readCaller(const http::Headers &headers) const = 0;
     /*! @brief Removes the headers that only the mesh may send to a server, and the caller's key. */
--- a/test/support/test_dialect.h
+++ b/test/support/test_dialect.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "proxy/dialect.h"
+#include "proxy/header_adapter.h"
 
 namespace celeryramp::test {
 
 /*! @brief Dialect of a fictitious deployment for engine tests; its headers start with `T-`. */
-class TestDialect final : public proxy::Dialect
+class TestDialect final : public proxy::HeaderAdapter
 {
 public:
     [[nodiscard]] proxy::CallerMetadata readCaller(const http::Headers &headers) const override;
