--- a/src/celeryramp/engine/peer_coordinator.cpp
+++ b/src/celeryramp/engine/peer_coordinator.cpp
@@ -47,7 +47,7 @@
                                  directory::Replica &replica, proxy::FleetLimiter &limiter,
                                  std::uint64_t seed)
     : m_settings{settings}, m_peers{peers}, m_replica{replica}, m_limiter{limiter},
-      m_ledger{settings.zone}, m_random{seed}
+      m_usageAggregator{settings.zone}, m_random{seed}
 { }
 
 std::vector<Address> PeerCoordinator::nodesInZone(const std::string &zone) const
@@ -250,19 +250,19 @@
         }
         return;
     }
-    m_ledger.addNodeReport(m_settings.links.host, report, now);
+    m_usageAggregator.addNodeReport(m_settings.links.host, report, now);
     std::vector<std::string> nodes;
     for (const auto &[host, known] : m_knownNodes) {
         if (known.zone == m_settings.zone) {
             nodes.push_back(host);
         }
     }
-    m_ledger.countNodes(nodes, m_knownNodes.size() + 1, now);
+    m_usageAggregator.countNodes(nodes, m_knownNodes.size() + 1, now);
     if (!report.accounts.empty()) {
         m_lastZoneDemandAt = now;
     }
     if (m_replica.view()->routing) {
-        m_limiter.onLevels(m_ledger.levels(*m_replica.view()->routing, now), now);
+        m_limiter.onLevels(m_usageAggregator.levels(*m_replica.view()->routing, now), now);
     }
     const bool isQuiet = millisBetween(m_lastZoneDemandAt, now) > internal::kQuietAfter;
     if (millisBetween(m_lastZoneReportAt, now)
@@ -270,7 +270,7 @@
         return;
     }
     m_lastZoneReportAt = now;
-    const auto zoneReport = m_ledger.takeZoneReport(isQuiet);
+    const auto zoneReport = m_usageAggregator.takeZoneReport(isQuiet);
     for (const auto &zone : zones()) {
         if (zone == m_settings.zone) {
             continue;
@@ -312,15 +312,15 @@
 void PeerCoordinator::onUsage(const Address &peer, const proxy::UsageFrame &frame, TimePoint now)
 {
     if (!frame.zone.empty()) {
-        m_ledger.addZoneReport(frame, now);
+        m_usageAggregator.addZoneReport(frame, now);
         return;
     }
     if (!frame.accounts.empty()) {
         m_lastZoneDemandAt = now;
     }
-    m_ledger.addNodeReport(peer.host, frame, now);
+    m_usageAggregator.addNodeReport(peer.host, frame, now);
     if (m_replica.view()->routing) {
-        auto levels = m_ledger.levels(*m_replica.view()->routing, now);
+        auto levels = m_usageAggregator.levels(*m_replica.view()->routing, now);
         levels.askedAt = frame.sentAt;
         levels.revision = m_replica.revision();
         levels.age = m_replica.age(now);
--- a/src/celeryramp/engine/peer_coordinator.h
+++ b/src/celeryramp/engine/peer_coordinator.h
@@ -13,7 +13,7 @@
 #include "links/peer_links.h"
 #include "proxy/fleet_limiter.h"
 #include "proxy/frames.h"
-#include "proxy/usage_ledger.h"
+#include "proxy/usage_aggregator.h"
 
 namespace celeryramp::engine {
 
@@ -91,7 +91,7 @@
     links::PeerLinks &m_peers;
     directory::Replica &m_replica;
     proxy::FleetLimiter &m_limiter;
-    proxy::UsageLedger m_ledger;
+    proxy::UsageAggregator m_usageAggregator;
     RandomEngine m_random;
     TimePoint m_lastDemandAt; /*!< Last demand of accounts at this node. */
     TimePoint m_lastZoneDemandAt; /*!< Last demand in the zone, kept while this node aggregates. */
--- a/src/celeryramp/proxy/fwd.h
+++ b/src/celeryramp/proxy/fwd.h
@@ -16,6 +16,6 @@
 class ServerGate;
 class ServerPicker;
 class SplitChooser;
-class UsageLedger;
+class UsageAggregator;
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/usage_ledger.cpp
+++ b/src/celeryramp/proxy/usage_aggregator.cpp
@@ -1,4 +1,4 @@
-#include "proxy/usage_ledger.h"
+#include "proxy/usage_aggregator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -24,7 +24,7 @@
 
 } // namespace internal
 
-void UsageLedger::addUsage(const std::string &zone, const UsageFrame &report)
+void UsageAggregator::addUsage(const std::string &zone, const UsageFrame &report)
 {
     for (const auto &[name, usage] : report.accounts) {
         auto &account = m_accounts[name];
@@ -33,7 +33,8 @@
     }
 }
 
-void UsageLedger::addNodeReport(const std::string &node, const UsageFrame &report, TimePoint now)
+void UsageAggregator::addNodeReport(const std::string &node, const UsageFrame &report,
+                                    TimePoint now)
 {
     m_nodeReportedAt[node] = now;
     addUsage(m_zone, report);
@@ -44,7 +45,7 @@
     }
 }
 
-void UsageLedger::addZoneReport(const UsageFrame &report, TimePoint now)
+void UsageAggregator::addZoneReport(const UsageFrame &report, TimePoint now)
 {
     if (report.zone == m_zone) {
         return;
@@ -53,7 +54,7 @@
     addUsage(report.zone, report);
 }
 
-UsageFrame UsageLedger::takeZoneReport(bool isIdle)
+UsageFrame UsageAggregator::takeZoneReport(bool isIdle)
 {
     UsageFrame report = std::move(m_unreported);
     report.zone = m_zone;
@@ -63,8 +64,8 @@
     return report;
 }
 
-void UsageLedger::countNodes(const std::vector<std::string> &others, std::size_t fleetSize,
-                             TimePoint now)
+void UsageAggregator::countNodes(const std::vector<std::string> &others, std::size_t fleetSize,
+                                 TimePoint now)
 {
     const auto live = std::count_if(others.begin(), others.end(), [&](const std::string &node) {
         const auto it = m_nodeReportedAt.find(node);
@@ -75,7 +76,7 @@
     m_fleetSize = std::max<std::size_t>(1, fleetSize);
 }
 
-bool UsageLedger::isLive(const std::string &zone, TimePoint now) const
+bool UsageAggregator::isLive(const std::string &zone, TimePoint now) const
 {
     if (zone == m_zone) {
         return true;
@@ -86,7 +87,7 @@
             < (it->second.isIdle ? internal::kIdleZoneTimeout : internal::kZoneTimeout);
 }
 
-double UsageLedger::liveShare(TimePoint now) const
+double UsageAggregator::liveShare(TimePoint now) const
 {
     int live = m_liveNodes;
     for (const auto &[name, zone] : m_zones) {
@@ -95,8 +96,8 @@
     return std::min(1.0, static_cast<double>(live) / static_cast<double>(m_fleetSize));
 }
 
-double UsageLedger::updateDemand(Account &account, double span, bool isMeasurementDue,
-                                 TimePoint now)
+double UsageAggregator::updateDemand(Account &account, double span, bool isMeasurementDue,
+                                     TimePoint now)
 {
     double total = 0.0;
     for (auto &[zone, demand] : account.zones) {
@@ -118,7 +119,7 @@
     return total;
 }
 
-LevelsFrame UsageLedger::levels(const directory::RoutingTable &routing, TimePoint now)
+LevelsFrame UsageAggregator::levels(const directory::RoutingTable &routing, TimePoint now)
 {
     const double elapsed = std::clamp(secondsBetween(m_updatedAt, now), 0.0, 3600.0);
     m_updatedAt = now;
--- a/src/celeryramp/proxy/usage_ledger.h
+++ b/src/celeryramp/proxy/usage_aggregator.h
@@ -17,11 +17,11 @@
  * reach one another may admit the same fraction of each limit as their share of all nodes, so that
  * the groups of a network partition together do not exceed the limit.
  */
-class UsageLedger
+class UsageAggregator
 {
 public:
     /*! @param zone The local zone. */
-    explicit UsageLedger(std::string zone) : m_zone{std::move(zone)} { }
+    explicit UsageAggregator(std::string zone) : m_zone{std::move(zone)} { }
 
     /*! @brief Adds the report of a node of the local zone. */
     void addNodeReport(const std::string &node, const UsageFrame &report, TimePoint now);
--- a/test/proxy/fleet_limiter.cpp
+++ b/test/proxy/fleet_limiter.cpp
@@ -8,7 +8,7 @@
 #include <catch2/catch.hpp>
 
 #include "core/random.h"
-#include "proxy/usage_ledger.h"
+#include "proxy/usage_aggregator.h"
 
 using namespace celeryramp;
 using namespace celeryramp::proxy;
@@ -31,11 +31,11 @@
         m_routing = std::make_unique<directory::RoutingTable>(
                 std::move(directory::RoutingTable::build(configuration).value()));
         for (int i = 0; i < kZones; ++i) {
-            m_ledgers.emplace_back("zone-" + std::to_string(i));
+            m_aggregators.emplace_back("zone-" + std::to_string(i));
         }
         m_nodes.resize(kZones * kNodesPerZone);
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            m_isolatedLedgers.emplace_back("zone-" + std::to_string(i / kNodesPerZone));
+            m_isolatedAggregators.emplace_back("zone-" + std::to_string(i / kNodesPerZone));
         }
         // The nodes exchange reports before the first request.
         const std::vector<bool> none(kZones, false);
@@ -73,8 +73,8 @@
     {
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
             if (isolated.count(i) == 0) {
-                m_ledgers[i / kNodesPerZone].addNodeReport("node-" + std::to_string(i),
-                                                           m_nodes[i].takeReport(), now);
+                m_aggregators[i / kNodesPerZone].addNodeReport("node-" + std::to_string(i),
+                                                               m_nodes[i].takeReport(), now);
             }
         }
         aggregateIsolated();
@@ -84,16 +84,17 @@
                 names.push_back("node-" + std::to_string(zone * kNodesPerZone + i));
             }
             names.erase(names.begin()); // the first node of each zone aggregates
-            m_ledgers[zone].countNodes(names, m_nodes.size(), now);
+            m_aggregators[zone].countNodes(names, m_nodes.size(), now);
         }
         if (m_tick % 500 == 0) {
             for (int from = 0; from < kZones; ++from) {
-                const auto sum = m_ledgers[static_cast<std::size_t>(from)].takeZoneReport(false);
+                const auto sum
+                        = m_aggregators[static_cast<std::size_t>(from)].takeZoneReport(false);
                 for (int to = 0; to < kZones; ++to) {
                     const bool isCut = cut[static_cast<std::size_t>(from)]
                             || cut[static_cast<std::size_t>(to)];
                     if (from != to && !isCut) {
-                        m_ledgers[static_cast<std::size_t>(to)].addZoneReport(sum, now);
+                        m_aggregators[static_cast<std::size_t>(to)].addZoneReport(sum, now);
                     }
                 }
             }
@@ -102,7 +103,7 @@
             if (isolated.count(i) > 0) {
                 continue;
             }
-            m_nodes[i].onLevels(m_ledgers[i / kNodesPerZone].levels(*m_routing, now), now);
+            m_nodes[i].onLevels(m_aggregators[i / kNodesPerZone].levels(*m_routing, now), now);
         }
     }
 
@@ -110,9 +111,9 @@
     void aggregateIsolated()
     {
         for (const auto i : isolated) {
-            auto &ledger = m_isolatedLedgers.at(i);
+            auto &aggregator = m_isolatedAggregators.at(i);
             const auto name = [](std::size_t n) { return "node-" + std::to_string(n); };
-            ledger.addNodeReport(name(i), m_nodes[i].takeReport(), now);
+            aggregator.addNodeReport(name(i), m_nodes[i].takeReport(), now);
             std::vector<std::string> others;
             const auto first = i / kNodesPerZone * kNodesPerZone;
             for (std::size_t n = first; n < first + kNodesPerZone; ++n) {
@@ -120,16 +121,16 @@
                     others.push_back(name(n));
                 }
             }
-            ledger.countNodes(others, m_nodes.size(), now);
-            m_nodes[i].onLevels(ledger.levels(*m_routing, now), now);
+            aggregator.countNodes(others, m_nodes.size(), now);
+            m_nodes[i].onLevels(aggregator.levels(*m_routing, now), now);
         }
     }
 
     directory::ClientAccount m_account;
     std::unique_ptr<directory::RoutingTable> m_routing;
-    std::vector<UsageLedger> m_ledgers;
-    std::vector<UsageLedger>
-            m_isolatedLedgers; /*!< One for each node, used while it is isolated. */
+    std::vector<UsageAggregator> m_aggregators;
+    std::vector<UsageAggregator>
+            m_isolatedAggregators; /*!< One for each node, used while it is isolated. */
     std::vector<FleetLimiter> m_nodes;
     RandomEngine m_random{20261204};
     int m_tick = 0;
