--- a/src/celeryramp/engine/call_log.cpp
+++ b/src/celeryramp/engine/call_log.cpp
@@ -33,7 +33,7 @@
               {"slots", std::to_string(reply.load.slots)},
               {"service_ms", std::to_string(reply.load.serviceMillis)},
               {"cold_wait_ms", std::to_string(reply.load.coldWaitMillis)},
-              {"bad_percent", std::to_string(reply.load.badPercent)}});
+              {"bad_percent", std::to_string(reply.load.failurePercent)}});
 }
 
 } // namespace celeryramp::engine
--- a/src/celeryramp/proxy/frame_codec.cpp
+++ b/src/celeryramp/proxy/frame_codec.cpp
@@ -90,7 +90,7 @@
     out.push_back(frame.reachedServer);
     out.push_back(Json::array({frame.load.running, frame.load.waiting, frame.load.slots,
                                frame.load.serviceMillis, frame.load.coldWaitMillis,
-                               frame.load.badPercent}));
+                               frame.load.failurePercent}));
     if (frame.kind == ReplyKind::Answer) {
         out.push_back(frame.answer.status);
         out.push_back(binary(frame.answer.reason));
--- a/src/celeryramp/proxy/gate_load.h
+++ b/src/celeryramp/proxy/gate_load.h
@@ -10,7 +10,7 @@
     int slots = 1;
     int serviceMillis = 0; /*!< Moving average of the service time. */
     int coldWaitMillis = -1; /*!< Time until a cold server can take another call; -1 if warm. */
-    int badPercent = 0; /*!< Moving average of the share of failed calls. */
+    int failurePercent = 0; /*!< Moving average of the share of failed calls. */
 };
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/server_picker.cpp
+++ b/src/celeryramp/proxy/server_picker.cpp
@@ -48,7 +48,7 @@
             continue;
         }
         const auto &state = stateIt->second;
-        const double rawShare = std::max(state.failureShare, state.load.badPercent / 100.0);
+        const double rawShare = std::max(state.failureShare, state.load.failurePercent / 100.0);
         const double decay
                 = std::exp(-secondsBetween(state.updatedAt, now) / internal::kFailureDecaySeconds);
         entries.push_back({&candidate, &state, rawShare * decay});
--- a/test/proxy/server_gate.cpp
+++ b/test/proxy/server_gate.cpp
@@ -213,7 +213,7 @@
     for (int i = 0; i < 16; ++i) {
         gate.finished(HandoverOutcome::Cancelled, Micros{1'500'000}, now);
     }
-    REQUIRE(gate.load(now).badPercent > 50);
+    REQUIRE(gate.load(now).failurePercent > 50);
     SECTION("and from calls that were served late")
     {
         for (std::uint64_t i = 20; i < 40; ++i) {
@@ -237,7 +237,7 @@
         gate.finished(HandoverOutcome::Cancelled, Micros{50'000}, kStart + Millis{50});
     }
     REQUIRE(gate.load(kStart + Millis{50}).serviceMillis == 100);
-    REQUIRE(gate.load(kStart + Millis{50}).badPercent == 0);
+    REQUIRE(gate.load(kStart + Millis{50}).failurePercent == 0);
 }
 
 TEST_CASE("Pattern: a partly failing server is reported by its gate and recovers with time")
@@ -251,10 +251,10 @@
         gate.finished(i % 2 == 0 ? HandoverOutcome::Failed : HandoverOutcome::Served,
                       Micros{10'000}, now);
     }
-    const auto failurePercent = gate.load(now).badPercent;
+    const auto failurePercent = gate.load(now).failurePercent;
     REQUIRE(failurePercent > 30);
     REQUIRE(failurePercent < 70);
-    REQUIRE(gate.load(now + Millis{9000}).badPercent < 5);
+    REQUIRE(gate.load(now + Millis{9000}).failurePercent < 5);
 }
 
 TEST_CASE("Pattern: a cold server is overloaded - nested calls are still served")
