--- a/src/celeryramp/engine/engine.cpp
+++ b/src/celeryramp/engine/engine.cpp
@@ -26,14 +26,17 @@
 
 } // namespace internal
 
-Engine::Engine(boost::asio::io_context &context, EngineSettings settings, EnginePorts ports)
-    : m_context{context}, m_settings{std::move(settings)}, m_ports{std::move(ports)},
-      m_replica{m_ports.decoder, m_settings.lapseGrace}, m_peers{context, m_settings.links, *this},
-      m_gate{context, m_settings, m_ports.headerAdapter, m_crashes, m_metrics},
+Engine::Engine(boost::asio::io_context &context, EngineSettings settings,
+               DeploymentBindings bindings)
+    : m_context{context}, m_settings{std::move(settings)},
+      m_bindings{std::move(bindings)}, m_replica{m_bindings.decoder, m_settings.lapseGrace},
+      m_peers{context, m_settings.links, *this}, m_gate{context, m_settings,
+                                                        m_bindings.headerAdapter, m_crashes,
+                                                        m_metrics},
       m_coordinator{m_settings, m_peers, m_replica, m_limiter,
                     internal::randomSeed(m_settings.name)},
       m_dispatcher{context,
-                   DispatcherDependencies{m_settings, m_ports.headerAdapter, m_replica, m_peers,
+                   DispatcherDependencies{m_settings, m_bindings.headerAdapter, m_replica, m_peers,
                                           m_gate, m_coordinator, m_limiter, m_crashes, m_metrics},
                    internal::randomSeed(m_settings.name)},
       m_callerListener{context,
@@ -81,7 +84,7 @@
               {"backend", m_settings.backend.text()},
               {"key_freshness_ms", std::to_string(m_settings.keyFreshness.count())},
               {"build", CELERYRAMP_VERSION}});
-    m_ports.source.start(*this);
+    m_bindings.source.start(*this);
     tick();
     return boost::outcome_v2::success();
 }
@@ -92,7 +95,7 @@
     onDirectoryChanged(m_replica.expire(now), "grace-over", now);
     m_coordinator.tick(now);
     if (m_coordinator.readPause(now)) {
-        m_ports.source.resume();
+        m_bindings.source.resume();
     }
     m_peers.sweep(now);
     m_gate.sweep(now);
@@ -151,7 +154,7 @@
     if (isDone || elapsed >= m_settings.grace - internal::kShutdownMargin) {
         logEvent(LogLevel::Info, "engine", "stopped",
                  {{"spent_ms", std::to_string(elapsed.count())}, {"cut", isDone ? "0" : "1"}});
-        m_ports.source.stop();
+        m_bindings.source.stop();
         m_peers.close();
         m_readinessEndpoint.close();
         m_metricsEndpoint.close();
@@ -163,14 +166,14 @@
 {
     http::Answer answer;
     const bool isReady = !m_isShuttingDown && m_replica.view()->routing != nullptr;
-    answer.status = path != m_ports.readinessPath ? 404 : isReady ? 200 : 503;
+    answer.status = path != m_bindings.readinessPath ? 404 : isReady ? 200 : 503;
     return answer;
 }
 
 http::Answer Engine::respondMetrics(std::string_view path) const
 {
     http::Answer answer;
-    answer.status = path == m_ports.metricsPath ? 200 : 404;
+    answer.status = path == m_bindings.metricsPath ? 200 : 404;
     if (answer.status == 200) {
         const auto &view = *m_replica.view();
         answer.headers.push_back({"Content-Type", "text/plain; version=0.0.4"});
@@ -235,7 +238,7 @@
                  {{"peer", peer.text()}});
         m_coordinator.onReaderStatus(peer, readerStatus->canRead, now);
         if (m_coordinator.readPause(now)) {
-            m_ports.source.resume();
+            m_bindings.source.resume();
         }
     } else if (const auto *suspect = std::get_if<proxy::SuspectFrame>(&frame)) {
         logEvent(LogLevel::Info, "engine", "request-suspected",
@@ -342,7 +345,7 @@
         logEvent(LogLevel::Info, "engine", "large-news",
                  {{"peer", peer.text()}, {"revision", std::to_string(changesFrame.revision)}});
         m_coordinator.requireRead(changesFrame.revision);
-        m_ports.source.resume();
+        m_bindings.source.resume();
         return;
     }
     std::vector<directory::ItemChange> changes;
--- a/src/celeryramp/engine/engine.h
+++ b/src/celeryramp/engine/engine.h
@@ -29,7 +29,7 @@
 
 /*! @brief Adapters and paths that a deployment supplies; the referenced objects outlive the engine.
  */
-struct EnginePorts
+struct DeploymentBindings
 {
     const proxy::HeaderAdapter &headerAdapter;
     const directory::ItemDecoder &decoder;
@@ -43,7 +43,7 @@
 class Engine final : public links::LinkEvents, public directory::ItemSink
 {
 public:
-    Engine(boost::asio::io_context &context, EngineSettings settings, EnginePorts ports);
+    Engine(boost::asio::io_context &context, EngineSettings settings, DeploymentBindings bindings);
     ~Engine() override;
 
     /*! @brief Opens the listening sockets and starts reading the published state.
@@ -86,7 +86,7 @@
 
     boost::asio::io_context &m_context;
     EngineSettings m_settings;
-    EnginePorts m_ports;
+    DeploymentBindings m_bindings;
     MetricsRegistry m_metrics;
     directory::Replica m_replica;
     links::PeerLinks m_peers;
--- a/test/engine/engine.cpp
+++ b/test/engine/engine.cpp
@@ -192,7 +192,7 @@
     settings.readiness = {"127.0.0.21", Mesh::kReadinessPort};
     settings.backend = {"127.0.0.21", Mesh::kServerPort};
     engine::Engine node{mesh.context, settings,
-                        engine::EnginePorts{dialect, decoder, source, "/ready", "/metrics"}};
+                        engine::DeploymentBindings{dialect, decoder, source, "/ready", "/metrics"}};
     REQUIRE(node.start());
     auto outcome = std::make_shared<Outcome>();
     const auto ask = [&](std::uint16_t port, const char *target) {
--- a/test/support/mesh.cpp
+++ b/test/support/mesh.cpp
@@ -46,7 +46,8 @@
         settings.backend = {node->host, kServerPort};
         node->engine = std::make_unique<engine::Engine>(
                 context, settings,
-                engine::EnginePorts{m_dialect, m_decoder, node->source, "/ready", "/metrics"});
+                engine::DeploymentBindings{m_dialect, m_decoder, node->source, "/ready",
+                                           "/metrics"});
         const auto started = node->engine->start();
         if (!started) {
             throw std::runtime_error{started.error().place + ": " + started.error().reason};
