--- a/src/celeryramp/engine/engine.cpp
+++ b/src/celeryramp/engine/engine.cpp
@@ -114,7 +114,7 @@
     });
 }
 
-void Engine::leave(TimePoint now)
+void Engine::beginShutdown(TimePoint now)
 {
     if (m_isShuttingDown) {
         return;
--- a/src/celeryramp/engine/engine.h
+++ b/src/celeryramp/engine/engine.h
@@ -51,11 +51,11 @@
     [[nodiscard]] Result<void, EngineError> start();
 
     /*!
-     * @brief Shuts the node down gracefully: stops admitting work, finishes running calls, then
-     * stops the context. Stops it shortly before the grace period of the settings ends at the
+     * @brief Begins a graceful shutdown of the node: stops admitting work, finishes running calls,
+     * then stops the context. Stops it shortly before the grace period of the settings ends at the
      * latest.
      */
-    void leave(TimePoint now);
+    void beginShutdown(TimePoint now);
 
     void onFrame(const Address &peer, std::string_view bytes) override;
     void onLinkOpen(const Address &peer) override;
--- a/test/engine/engine.cpp
+++ b/test/engine/engine.cpp
@@ -219,7 +219,7 @@
     Mesh mesh{2};
     std::vector<std::shared_ptr<Outcome>> outcomes;
     std::vector<http::ClientConnectionPtr> callers;
-    mesh.nodes[1]->engine->leave(bootNow());
+    mesh.nodes[1]->engine->beginShutdown(bootNow());
     const auto end = bootNow() + Millis{5400};
     while (bootNow() < end) {
         outcomes.push_back(std::make_shared<Outcome>());
