--- a/src/celeryramp/http/message.cpp
+++ b/src/celeryramp/http/message.cpp
@@ -41,7 +41,7 @@
 
 } // namespace internal
 
-bool isSameName(std::string_view a, std::string_view b) noexcept
+bool equalsIgnoreCase(std::string_view a, std::string_view b) noexcept
 {
     return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
                return internal::toLower(x) == internal::toLower(y);
@@ -51,7 +51,7 @@
 std::string_view findHeader(const Headers &headers, std::string_view name) noexcept
 {
     for (const auto &header : headers) {
-        if (isSameName(header.name, name)) {
+        if (equalsIgnoreCase(header.name, name)) {
             return header.value;
         }
     }
@@ -61,22 +61,23 @@
 int countHeaders(const Headers &headers, std::string_view name) noexcept
 {
     return static_cast<int>(std::count_if(headers.begin(), headers.end(), [name](const Header &it) {
-        return isSameName(it.name, name);
+        return equalsIgnoreCase(it.name, name);
     }));
 }
 
 void eraseHeaders(Headers &headers, std::string_view name)
 {
-    headers.erase(std::remove_if(headers.begin(), headers.end(),
-                                 [name](const Header &it) { return isSameName(it.name, name); }),
-                  headers.end());
+    headers.erase(
+            std::remove_if(headers.begin(), headers.end(),
+                           [name](const Header &it) { return equalsIgnoreCase(it.name, name); }),
+            headers.end());
 }
 
 void eraseHopByHop(Headers &headers)
 {
     std::vector<std::string> connectionOptions;
     for (const auto &header : headers) {
-        if (!isSameName(header.name, "Connection")) {
+        if (!equalsIgnoreCase(header.name, "Connection")) {
             continue;
         }
         std::string_view rest = header.value;
--- a/src/celeryramp/http/message.h
+++ b/src/celeryramp/http/message.h
@@ -36,7 +36,7 @@
 };
 
 /*! @return True if the texts are equal apart from letter case. */
-[[nodiscard]] bool isSameName(std::string_view a, std::string_view b) noexcept;
+[[nodiscard]] bool equalsIgnoreCase(std::string_view a, std::string_view b) noexcept;
 
 /*! @return Value of the first header with this name, or an empty string. */
 [[nodiscard]] std::string_view findHeader(const Headers &headers, std::string_view name) noexcept;
--- a/src/celeryramp/http/request_reader.cpp
+++ b/src/celeryramp/http/request_reader.cpp
@@ -42,9 +42,9 @@
     if (encodings > 1
         || (encodings == 1
             && (message.version() < 11
-                || !isSameName({message[beast::field::transfer_encoding].data(),
-                                message[beast::field::transfer_encoding].size()},
-                               "chunked")))) {
+                || !equalsIgnoreCase({message[beast::field::transfer_encoding].data(),
+                                      message[beast::field::transfer_encoding].size()},
+                                     "chunked")))) {
         return 400;
     }
     if (encodings == 1 && message.count(beast::field::content_length) > 0) {
@@ -91,7 +91,7 @@
             }
             m_state = State::Body;
             const auto expect = inner.get()[beast::field::expect];
-            m_expectsContinue = isSameName({expect.data(), expect.size()}, "100-continue");
+            m_expectsContinue = equalsIgnoreCase({expect.data(), expect.size()}, "100-continue");
         }
         if (ec == beast::error::need_more) {
             const bool isTooLong = !inner.is_header_done() && m_buffer.size() > bounds.headerBytes;
