--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -47,7 +47,7 @@
       m_random{seed ^ 0x5bd1e995U}, m_nextId{(seed << 20U) | 1U}
 { }
 
-http::RequestBounds RequestDispatcher::requestBounds() const
+http::RequestLimits RequestDispatcher::requestLimits() const
 {
     if (const auto &routing = m_dependencies.replica.view()->routing) {
         return {routing->limits().headerBytes, routing->limits().bodyBytes};
--- a/src/celeryramp/engine/request_dispatcher.h
+++ b/src/celeryramp/engine/request_dispatcher.h
@@ -53,7 +53,7 @@
     void onRequest(const http::CallerConnectionPtr &connection, http::Request request) override;
     void onBadRequest(int status) override;
     void onClosed(const http::CallerConnectionPtr &connection) override;
-    [[nodiscard]] http::RequestBounds requestBounds() const override;
+    [[nodiscard]] http::RequestLimits requestLimits() const override;
 
     /*! @brief Serves a newly accepted connection of a caller. */
     void accept(boost::asio::ip::tcp::socket socket, TimePoint now);
--- a/src/celeryramp/engine/status_endpoint.h
+++ b/src/celeryramp/engine/status_endpoint.h
@@ -29,7 +29,7 @@
     void onRequest(const http::CallerConnectionPtr &connection, http::Request request) override;
     void onBadRequest(int status) override;
     void onClosed(const http::CallerConnectionPtr &connection) override;
-    [[nodiscard]] http::RequestBounds requestBounds() const override { return {}; }
+    [[nodiscard]] http::RequestLimits requestLimits() const override { return {}; }
 
 private:
     RequestHandler m_handler;
--- a/src/celeryramp/http/caller_connection.cpp
+++ b/src/celeryramp/http/caller_connection.cpp
@@ -47,7 +47,7 @@
 void CallerConnection::onBytes(std::string_view bytes)
 {
     const bool wasIdle = m_reader.state() == RequestReader::State::Idle;
-    m_reader.feed(bytes, m_events.requestBounds());
+    m_reader.feed(bytes, m_events.requestLimits());
     if (wasIdle) {
         m_lastChange = bootNow();
     }
@@ -94,7 +94,7 @@
     m_lastChange = bootNow();
     write();
     if (!m_closesAfterWrite && m_reader.buffered() > 0) {
-        m_reader.feed({}, m_events.requestBounds());
+        m_reader.feed({}, m_events.requestLimits());
         // Dispatching from the event loop avoids deep recursion over pipelined requests.
         boost::asio::post(m_socket.get_executor(), [self = shared_from_this()] {
             self->dispatch();
--- a/src/celeryramp/http/caller_connection.h
+++ b/src/celeryramp/http/caller_connection.h
@@ -43,7 +43,7 @@
     /*! @brief Called once after the connection closed. The owner cancels the pending request. */
     virtual void onClosed(const CallerConnectionPtr &connection) = 0;
     /*! @return Size limits currently in force for requests. */
-    [[nodiscard]] virtual RequestBounds requestBounds() const = 0;
+    [[nodiscard]] virtual RequestLimits requestLimits() const = 0;
 };
 
 /*!
--- a/src/celeryramp/http/request_reader.cpp
+++ b/src/celeryramp/http/request_reader.cpp
@@ -12,12 +12,12 @@
 
 struct RequestReader::Parser
 {
-    explicit Parser(const RequestBounds &bounds)
+    explicit Parser(const RequestLimits &limits)
     {
         inner.eager(true);
         inner.header_limit(static_cast<std::uint32_t>(
-                std::min<std::size_t>(bounds.headerBytes, std::numeric_limits<int>::max())));
-        inner.body_limit(bounds.bodyBytes);
+                std::min<std::size_t>(limits.headerBytes, std::numeric_limits<int>::max())));
+        inner.body_limit(limits.bodyBytes);
     }
 
     beast::request_parser<beast::string_body> inner;
@@ -69,7 +69,7 @@
 RequestReader::RequestReader() = default;
 RequestReader::~RequestReader() = default;
 
-RequestReader::State RequestReader::feed(std::string_view bytes, const RequestBounds &bounds)
+RequestReader::State RequestReader::feed(std::string_view bytes, const RequestLimits &limits)
 {
     m_buffer.append(bytes);
     if (m_state == State::Done || m_state == State::Bad) {
@@ -77,7 +77,7 @@
     }
     while (!m_buffer.empty()) {
         if (!m_parser) {
-            m_parser = std::make_unique<Parser>(bounds);
+            m_parser = std::make_unique<Parser>(limits);
             m_state = State::Header;
         }
         auto &inner = m_parser->inner;
@@ -94,7 +94,7 @@
             m_expectsContinue = equalsIgnoreCase({expect.data(), expect.size()}, "100-continue");
         }
         if (ec == beast::error::need_more) {
-            const bool isTooLong = !inner.is_header_done() && m_buffer.size() > bounds.headerBytes;
+            const bool isTooLong = !inner.is_header_done() && m_buffer.size() > limits.headerBytes;
             return isTooLong ? fail(431) : m_state;
         }
         if (ec) {
--- a/src/celeryramp/http/request_reader.h
+++ b/src/celeryramp/http/request_reader.h
@@ -10,7 +10,7 @@
 namespace celeryramp::http {
 
 /*! @brief Size limits for one request, in bytes. */
-struct RequestBounds
+struct RequestLimits
 {
     std::size_t headerBytes = 16 * 1024;
     std::size_t bodyBytes = 1024 * 1024;
@@ -40,7 +40,7 @@
      * @brief Appends bytes and parses them up to the end of the current request. Bytes that follow
      * stay buffered for the next request. Empty `bytes` continue with the buffered ones.
      */
-    State feed(std::string_view bytes, const RequestBounds &bounds);
+    State feed(std::string_view bytes, const RequestLimits &limits);
 
     /*! @return The complete request; requires `State::Done`. The next `feed` parses the next one.
      */
--- a/test/http/request_reader.cpp
+++ b/test/http/request_reader.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const RequestBounds kBounds{512, 64};
+const RequestLimits kLimits{512, 64};
 
 State feed(RequestReader &reader, std::string_view text, std::size_t step = std::string::npos)
 {
@@ -15,7 +15,7 @@
     while (!text.empty()) {
         const auto chunk = text.substr(0, step);
         text.remove_prefix(chunk.size());
-        state = reader.feed(chunk, kBounds);
+        state = reader.feed(chunk, kLimits);
     }
     return state;
 }
@@ -45,7 +45,7 @@
     feed(reader, "GET /1/ HTTP/1.1\r\nHost: x\r\n\r\nGET /2/ HTTP/1.1\r\nHost: x\r\n\r\n");
     REQUIRE(reader.state() == State::Done);
     REQUIRE(reader.take().target == "/1/");
-    REQUIRE(reader.feed({}, kBounds) == State::Done);
+    REQUIRE(reader.feed({}, kLimits) == State::Done);
     REQUIRE(reader.take().target == "/2/");
     REQUIRE(reader.buffered() == 0);
 }
