--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -439,7 +439,7 @@
     const auto limits = routing ? routing->limits() : directory::InputLimits{};
     const auto connections = m_connections;
     for (const auto &connection : connections) {
-        connection->sweep(limits.headerTimeout, limits.idleTimeout, now);
+        connection->checkTimeouts(limits.headerTimeout, limits.idleTimeout, now);
     }
 }
 
--- a/src/celeryramp/engine/status_endpoint.cpp
+++ b/src/celeryramp/engine/status_endpoint.cpp
@@ -41,7 +41,7 @@
 {
     const auto connections = m_connections;
     for (const auto &connection : connections) {
-        connection->sweep(internal::kHeaderTimeout, internal::kIdleTimeout, now);
+        connection->checkTimeouts(internal::kHeaderTimeout, internal::kIdleTimeout, now);
     }
 }
 
--- a/src/celeryramp/http/caller_connection.cpp
+++ b/src/celeryramp/http/caller_connection.cpp
@@ -131,7 +131,7 @@
 {
     // Closing a socket with unread bytes sends a reset, which can reach the caller before the
     // response. Therefore only the sending side is shut down here; the connection is closed when
-    // reading fails or when `sweep` finds it idle for too long.
+    // reading fails or when `checkTimeouts` finds it idle for too long.
     boost::system::error_code ignored;
     m_socket.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
     if (ignored || m_reader.state() == RequestReader::State::Idle) {
@@ -155,7 +155,7 @@
     m_closesWhenIdle = true;
 }
 
-void CallerConnection::sweep(Millis headerTimeout, Millis idleTimeout, TimePoint now)
+void CallerConnection::checkTimeouts(Millis headerTimeout, Millis idleTimeout, TimePoint now)
 {
     const auto elapsed = millisBetween(m_lastChange, now);
     if (m_closed || m_busy) {
--- a/src/celeryramp/http/caller_connection.h
+++ b/src/celeryramp/http/caller_connection.h
@@ -76,7 +76,7 @@
      * @param headerTimeout Longest time to receive a header; a slower caller gets status 408.
      * @param idleTimeout Longest time without progress in any other state.
      */
-    void sweep(Millis headerTimeout, Millis idleTimeout, TimePoint now);
+    void checkTimeouts(Millis headerTimeout, Millis idleTimeout, TimePoint now);
 
     /*! @return True if no request is being received or served and no response is being sent. */
     [[nodiscard]] bool isIdle() const noexcept
