--- a/src/celeryramp/engine/backend_gate.cpp
+++ b/src/celeryramp/engine/backend_gate.cpp
@@ -35,7 +35,7 @@
       m_pool{context, settings.backend, http::PoolSettings{internal::kConnectTimeout}}
 { }
 
-proxy::Reason BackendGate::closedReason() const
+proxy::Reason BackendGate::reasonToClose() const
 {
     if (m_server.id.empty()) {
         return proxy::Reason::NoServer;
@@ -89,7 +89,7 @@
 void BackendGate::updateClosed(TimePoint now)
 {
     const auto before = m_admission.closedReason();
-    const auto closed = closedReason();
+    const auto closed = reasonToClose();
     m_admission.setClosed(closed);
     if (before == proxy::Reason::Evacuated && closed == proxy::Reason::None) {
         assumeCold("zone-back");
--- a/src/celeryramp/engine/backend_gate.h
+++ b/src/celeryramp/engine/backend_gate.h
@@ -97,7 +97,7 @@
     /*! @brief Passes the requests that may have crashed the server to the crash handler. */
     void reportCrash(TimePoint now);
     void probeIfNeeded(TimePoint now);
-    [[nodiscard]] proxy::Reason closedReason() const;
+    [[nodiscard]] proxy::Reason reasonToClose() const;
     void updateClosed(TimePoint now);
 
     TimePoint m_startedAt; /*!< An earlier process on this host may have run until then. */
