--- a/src/celeryramp/engine/request_dispatcher.h
+++ b/src/celeryramp/engine/request_dispatcher.h
@@ -89,11 +89,12 @@
         proxy::CallFrame frame;
         proxy::CallDispatcher dispatcher;
         TimePoint arrivedAt;
-        Address peer; /*!< Node of the gate asked now; the host is empty for the local gate. */
+        Address peer; /*!< Node of the gate that was offered the call last; the host is empty for
+                         the local gate. */
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
 
-    /*! @brief Answers a request that no gate was asked for. */
+    /*! @brief Answers a request that was offered to no gate. */
     void refuseRequest(const http::CallerConnectionPtr &connection, const std::string &requestId,
                        int status, proxy::Reason reason, std::optional<Millis> retryAfter,
                        const std::string &account = {}, const std::string &detail = {});
--- a/test/proxy/call_dispatcher.cpp
+++ b/test/proxy/call_dispatcher.cpp
@@ -155,15 +155,15 @@
                         "near-6", "near-7", "near-8", "near-9", "far-1"};
     CallDispatcher dispatcher{policy()};
     auto step = dispatcher.begin(service.dispatchContext(), kStart);
-    bool hasAskedFar = false;
+    bool hasOfferedFar = false;
     for (int i = 0; i < 6 && std::holds_alternative<OfferStep>(step); ++i) {
         const auto &offer = std::get<OfferStep>(step);
-        hasAskedFar = hasAskedFar || offer.server->id == "far-1";
+        hasOfferedFar = hasOfferedFar || offer.server->id == "far-1";
         auto reply = refusal(Reason::Busy);
         reply.load.waiting = 100;
         step = dispatcher.onReply(reply, service.dispatchContext(), kStart);
     }
-    REQUIRE(hasAskedFar);
+    REQUIRE(hasOfferedFar);
 }
 
 TEST_CASE("Pattern: overload - few gates are offered the call late and then it is refused")
--- a/test/support/test_dialect.h
+++ b/test/support/test_dialect.h
@@ -4,7 +4,8 @@
 
 namespace celeryramp::test {
 
-/*! @brief Dialect of a fictitious deployment for engine tests; its headers start with `T-`. */
+/*! @brief Header adapter of a fictitious deployment for engine tests; its headers start with `T-`.
+ */
 class TestDialect final : public proxy::HeaderAdapter
 {
 public:
