--- a/src/celeryramp/engine/backend_gate.cpp
+++ b/src/celeryramp/engine/backend_gate.cpp
@@ -28,14 +28,14 @@
 } // namespace internal
 
 BackendGate::BackendGate(boost::asio::io_context &context, const EngineSettings &settings,
-                         const proxy::Dialect &dialect, proxy::CrashRegistry &crashes,
+                         const proxy::HeaderAdapter &headerAdapter, proxy::CrashRegistry &crashes,
                          MetricsRegistry &metrics)
-    : m_startedAt{bootNow()}, m_expiryTimer{context}, m_settings{settings}, m_dialect{dialect},
-      m_crashes{crashes}, m_metrics{metrics}, m_pool{context, settings.backend,
-                                                     http::PoolSettings{internal::kConnectTimeout}}
+    : m_startedAt{bootNow()}, m_expiryTimer{context}, m_settings{settings},
+      m_headerAdapter{headerAdapter}, m_crashes{crashes}, m_metrics{metrics},
+      m_pool{context, settings.backend, http::PoolSettings{internal::kConnectTimeout}}
 { }
 
-proxy::Reason BackendGate::closedReason() const
+proxy::Reason BackendGate::reasonToClose() const
 {
     if (m_server.id.empty()) {
         return proxy::Reason::NoServer;
@@ -88,8 +88,8 @@
 
 void BackendGate::updateClosed(TimePoint now)
 {
-    const auto before = m_admission.closed();
-    const auto closed = closedReason();
+    const auto before = m_admission.closedReason();
+    const auto closed = reasonToClose();
     m_admission.setClosed(closed);
     if (before == proxy::Reason::Evacuated && closed == proxy::Reason::None) {
         assumeCold("zone-back");
@@ -117,7 +117,7 @@
     held.frame = std::move(call);
     const auto &frame = held.frame;
     m_ticketsByCallId[{origin, frame.id}] = ticket;
-    auto reason = m_admission.closed();
+    auto reason = m_admission.closedReason();
     if (reason == proxy::Reason::None && frame.serverId != m_server.id) {
         reason = proxy::Reason::WrongServer;
     }
@@ -172,15 +172,15 @@
     call.handedOverAt = now;
     if (left < internal::kMinServerTime) {
         finish(ticket, proxy::notRunReply(call.frame.id, proxy::Reason::DeadlinePassed),
-               proxy::HandoverEnd::NotSent, now);
+               proxy::HandoverOutcome::NotSent, now);
         return;
     }
     http::Exchange exchange;
-    exchange.wire = http::serialize(m_dialect.toServer(call.frame, left));
+    exchange.wire = http::serialize(m_headerAdapter.toServer(call.frame, left));
     exchange.isHead = call.frame.request.method == "HEAD";
     exchange.isOurs = [this, id = call.frame.requestId](const http::Answer &answer) {
-        const auto facts = m_dialect.readAnswer(answer);
-        return facts.requestId.empty() ? !facts.isSigned : facts.requestId == id;
+        const auto metadata = m_headerAdapter.readAnswer(answer);
+        return metadata.requestId.empty() ? !metadata.isSigned : metadata.requestId == id;
     };
     exchange.done = [this, ticket](http::ExchangeEnd end, http::Answer answer) {
         onExchangeEnd(ticket, end, std::move(answer));
@@ -202,25 +202,25 @@
     const auto now = bootNow();
     proxy::ReplyFrame reply;
     reply.id = it->second.frame.id;
-    auto handover = proxy::HandoverEnd::Failed;
+    auto handover = proxy::HandoverOutcome::Failed;
     switch (end) {
     case http::ExchangeEnd::Answered: {
-        const auto facts = m_dialect.readAnswer(answer);
-        if (facts.isOtherServer) {
+        const auto metadata = m_headerAdapter.readAnswer(answer);
+        if (metadata.isOtherServer) {
             reply.kind = proxy::ReplyKind::NotRun;
             reply.reason = proxy::Reason::WrongServer;
-            handover = proxy::HandoverEnd::NotSent;
-        } else if (facts.isNotRun) {
+            handover = proxy::HandoverOutcome::NotSent;
+        } else if (metadata.isNotRun) {
             reply.kind = proxy::ReplyKind::NotRun;
             reply.reason = proxy::Reason::Shed;
             reply.reachedServer = true;
-        } else if (answer.status < 300 && !facts.isSigned) {
+        } else if (answer.status < 300 && !metadata.isSigned) {
             reply.kind = proxy::ReplyKind::Failed;
             reply.reason = proxy::Reason::Malformed;
         } else {
             reply.kind = proxy::ReplyKind::Answer;
             if (answer.status < internal::kServerError) {
-                handover = proxy::HandoverEnd::Served;
+                handover = proxy::HandoverOutcome::Served;
             }
             http::eraseHopByHop(answer.headers);
             reply.answer = std::move(answer);
@@ -258,12 +258,12 @@
     if (it == m_calls.end()) {
         return;
     }
-    finish(ticket, proxy::notRunReply(it->second.frame.id, reason), proxy::HandoverEnd::NotSent,
+    finish(ticket, proxy::notRunReply(it->second.frame.id, reason), proxy::HandoverOutcome::NotSent,
            now);
 }
 
-void BackendGate::finish(std::uint64_t ticket, proxy::ReplyFrame reply, proxy::HandoverEnd end,
-                         TimePoint now)
+void BackendGate::finish(std::uint64_t ticket, proxy::ReplyFrame reply,
+                         proxy::HandoverOutcome outcome, TimePoint now)
 {
     const auto it = m_calls.find(ticket);
     if (it == m_calls.end()) {
@@ -273,7 +273,8 @@
     m_calls.erase(it);
     m_ticketsByCallId.erase({call.origin, call.frame.id});
     if (call.isRunning) {
-        m_admission.finished(end, std::chrono::duration_cast<Micros>(now - call.handedOverAt), now);
+        m_admission.finished(outcome, std::chrono::duration_cast<Micros>(now - call.handedOverAt),
+                             now);
     }
     reply.load = m_admission.load(now);
     logGateEnd(call.frame, reply, m_server.id, millisBetween(call.arrivedAt, now),
@@ -299,7 +300,7 @@
     if (!call.isRunning) {
         m_admission.cancel(ticket);
     } else {
-        m_admission.finished(proxy::HandoverEnd::Cancelled,
+        m_admission.finished(proxy::HandoverOutcome::Cancelled,
                              std::chrono::duration_cast<Micros>(now - call.handedOverAt), now);
         if (call.connection) {
             call.connection->cancel();
@@ -367,19 +368,19 @@
     m_isProbing = true;
     m_lastProbeAt = now;
     http::Exchange exchange;
-    exchange.wire = http::serialize(m_dialect.healthProbe(m_service));
+    exchange.wire = http::serialize(m_headerAdapter.healthProbe(m_service));
     exchange.done = [this](http::ExchangeEnd end, const http::Answer &answer) {
         m_isProbing = false;
         if (end != http::ExchangeEnd::Answered) {
             return;
         }
-        const auto facts = m_dialect.readAnswer(answer);
-        if (answer.status != 200 || facts.serverId != m_server.id) {
+        const auto metadata = m_headerAdapter.readAnswer(answer);
+        if (answer.status != 200 || metadata.serverId != m_server.id) {
             return;
         }
         const auto answeredAt = bootNow();
         m_needsProbe = false;
-        const auto cold = facts.coldFor.value_or(Millis{0});
+        const auto cold = metadata.coldFor.value_or(Millis{0});
         if (cold.count() > 0) {
             m_admission.cold().markCold(answeredAt + cold);
         } else {
--- a/src/celeryramp/engine/backend_gate.h
+++ b/src/celeryramp/engine/backend_gate.h
@@ -16,8 +16,8 @@
 #include "http/client_pool.h"
 #include "observe/metrics_registry.h"
 #include "proxy/crash_registry.h"
-#include "proxy/dialect.h"
 #include "proxy/frames.h"
+#include "proxy/header_adapter.h"
 #include "proxy/server_gate.h"
 
 namespace celeryramp::engine {
@@ -32,7 +32,7 @@
     using Reply = std::function<void(proxy::ReplyFrame)>;
 
     BackendGate(boost::asio::io_context &context, const EngineSettings &settings,
-                const proxy::Dialect &dialect, proxy::CrashRegistry &crashes,
+                const proxy::HeaderAdapter &headerAdapter, proxy::CrashRegistry &crashes,
                 MetricsRegistry &metrics);
 
     /*!
@@ -89,7 +89,7 @@
     void sendToServer(std::uint64_t ticket, TimePoint now);
     void onExchangeEnd(std::uint64_t ticket, http::ExchangeEnd end, http::Answer answer);
     void refuse(std::uint64_t ticket, proxy::Reason reason, TimePoint now);
-    void finish(std::uint64_t ticket, proxy::ReplyFrame reply, proxy::HandoverEnd end,
+    void finish(std::uint64_t ticket, proxy::ReplyFrame reply, proxy::HandoverOutcome outcome,
                 TimePoint now);
     void armExpiryTimer();
     /*! @brief Treats the server as cold until a health probe reports its state. */
@@ -97,13 +97,13 @@
     /*! @brief Passes the requests that may have crashed the server to the crash handler. */
     void reportCrash(TimePoint now);
     void probeIfNeeded(TimePoint now);
-    [[nodiscard]] proxy::Reason closedReason() const;
+    [[nodiscard]] proxy::Reason reasonToClose() const;
     void updateClosed(TimePoint now);
 
     TimePoint m_startedAt; /*!< An earlier process on this host may have run until then. */
     boost::asio::steady_timer m_expiryTimer;
     const EngineSettings &m_settings;
-    const proxy::Dialect &m_dialect;
+    const proxy::HeaderAdapter &m_headerAdapter;
     proxy::CrashRegistry &m_crashes;
     MetricsRegistry &m_metrics;
     CrashHandler m_crashHandler;
--- a/src/celeryramp/engine/engine.cpp
+++ b/src/celeryramp/engine/engine.cpp
@@ -26,15 +26,18 @@
 
 } // namespace internal
 
-Engine::Engine(boost::asio::io_context &context, EngineSettings settings, EnginePorts ports)
-    : m_context{context}, m_settings{std::move(settings)}, m_ports{std::move(ports)},
-      m_replica{m_ports.decoder, m_settings.lapseGrace}, m_peers{context, m_settings.links, *this},
-      m_gate{context, m_settings, m_ports.dialect, m_crashes, m_metrics},
+Engine::Engine(boost::asio::io_context &context, EngineSettings settings,
+               DeploymentBindings bindings)
+    : m_context{context}, m_settings{std::move(settings)},
+      m_bindings{std::move(bindings)}, m_replica{m_bindings.decoder, m_settings.lapseGrace},
+      m_peers{context, m_settings.links, *this}, m_gate{context, m_settings,
+                                                        m_bindings.headerAdapter, m_crashes,
+                                                        m_metrics},
       m_coordinator{m_settings, m_peers, m_replica, m_limiter,
                     internal::randomSeed(m_settings.name)},
       m_dispatcher{context,
-                   DispatcherDependencies{m_settings, m_ports.dialect, m_replica, m_peers, m_gate,
-                                          m_coordinator, m_limiter, m_crashes, m_metrics},
+                   DispatcherDependencies{m_settings, m_bindings.headerAdapter, m_replica, m_peers,
+                                          m_gate, m_coordinator, m_limiter, m_crashes, m_metrics},
                    internal::randomSeed(m_settings.name)},
       m_callerListener{context,
                        [this](boost::asio::ip::tcp::socket socket) {
@@ -81,7 +84,7 @@
               {"backend", m_settings.backend.text()},
               {"key_freshness_ms", std::to_string(m_settings.keyFreshness.count())},
               {"build", CELERYRAMP_VERSION}});
-    m_ports.source.start(*this);
+    m_bindings.source.start(*this);
     tick();
     return boost::outcome_v2::success();
 }
@@ -92,7 +95,7 @@
     onDirectoryChanged(m_replica.expire(now), "grace-over", now);
     m_coordinator.tick(now);
     if (m_coordinator.readPause(now)) {
-        m_ports.source.resume();
+        m_bindings.source.resume();
     }
     m_peers.sweep(now);
     m_gate.sweep(now);
@@ -111,7 +114,7 @@
     });
 }
 
-void Engine::leave(TimePoint now)
+void Engine::beginShutdown(TimePoint now)
 {
     if (m_isShuttingDown) {
         return;
@@ -151,7 +154,7 @@
     if (isDone || elapsed >= m_settings.grace - internal::kShutdownMargin) {
         logEvent(LogLevel::Info, "engine", "stopped",
                  {{"spent_ms", std::to_string(elapsed.count())}, {"cut", isDone ? "0" : "1"}});
-        m_ports.source.stop();
+        m_bindings.source.stop();
         m_peers.close();
         m_readinessEndpoint.close();
         m_metricsEndpoint.close();
@@ -163,14 +166,14 @@
 {
     http::Answer answer;
     const bool isReady = !m_isShuttingDown && m_replica.view()->routing != nullptr;
-    answer.status = path != m_ports.readinessPath ? 404 : isReady ? 200 : 503;
+    answer.status = path != m_bindings.readinessPath ? 404 : isReady ? 200 : 503;
     return answer;
 }
 
 http::Answer Engine::respondMetrics(std::string_view path) const
 {
     http::Answer answer;
-    answer.status = path == m_ports.metricsPath ? 200 : 404;
+    answer.status = path == m_bindings.metricsPath ? 200 : 404;
     if (answer.status == 200) {
         const auto &view = *m_replica.view();
         answer.headers.push_back({"Content-Type", "text/plain; version=0.0.4"});
@@ -228,14 +231,14 @@
         m_coordinator.onSyncRequest(peer, *request, now);
     } else if (const auto *sync = std::get_if<proxy::SyncReplyFrame>(&frame)) {
         onSyncReply(*sync, now);
-    } else if (const auto *news = std::get_if<proxy::NewsFrame>(&frame)) {
-        onNewsFrame(peer, *news, now);
-    } else if (const auto *reader = std::get_if<proxy::ReaderFrame>(&frame)) {
-        logEvent(LogLevel::Info, "engine", reader->canRead ? "reader-able" : "reader-unable",
+    } else if (const auto *changesFrame = std::get_if<proxy::ChangesFrame>(&frame)) {
+        onChangesFrame(peer, *changesFrame, now);
+    } else if (const auto *readerStatus = std::get_if<proxy::ReaderStatusFrame>(&frame)) {
+        logEvent(LogLevel::Info, "engine", readerStatus->canRead ? "reader-able" : "reader-unable",
                  {{"peer", peer.text()}});
-        m_coordinator.onReaderStatus(peer, reader->canRead, now);
+        m_coordinator.onReaderStatus(peer, readerStatus->canRead, now);
         if (m_coordinator.readPause(now)) {
-            m_ports.source.resume();
+            m_bindings.source.resume();
         }
     } else if (const auto *suspect = std::get_if<proxy::SuspectFrame>(&frame)) {
         logEvent(LogLevel::Info, "engine", "request-suspected",
@@ -295,15 +298,15 @@
 {
     const auto now = bootNow();
     const bool wasUnavailable = wasSourceUnavailable(now);
-    proxy::NewsFrame news{m_replica.revision(), revision, {}, {}};
+    proxy::ChangesFrame changesFrame{m_replica.revision(), revision, {}, {}};
     for (const auto &change : changes) {
         auto [delta, base] = m_replica.asDelta(change);
-        news.changes.push_back(std::move(delta));
-        news.bases.push_back(base);
+        changesFrame.changes.push_back(std::move(delta));
+        changesFrame.bases.push_back(base);
     }
     onSourceAnswered(now);
     if (!changes.empty()) {
-        m_coordinator.forwardChanges(news, now);
+        m_coordinator.forwardChanges(changesFrame, now);
     }
     onDirectoryChanged(m_replica.applyChanges(changes, revision, askedAt, wasUnavailable, now),
                        "watch", now);
@@ -332,36 +335,37 @@
     return m_coordinator.readPause(bootNow());
 }
 
-void Engine::onNewsFrame(const Address &peer, const proxy::NewsFrame &news, TimePoint now)
+void Engine::onChangesFrame(const Address &peer, const proxy::ChangesFrame &changesFrame,
+                            TimePoint now)
 {
-    if (!m_replica.isComplete() || news.revision <= m_replica.revision()) {
+    if (!m_replica.isComplete() || changesFrame.revision <= m_replica.revision()) {
         return;
     }
-    if (news.changes.empty()) {
+    if (changesFrame.changes.empty()) {
         logEvent(LogLevel::Info, "engine", "large-news",
-                 {{"peer", peer.text()}, {"revision", std::to_string(news.revision)}});
-        m_coordinator.requireRead(news.revision);
-        m_ports.source.resume();
+                 {{"peer", peer.text()}, {"revision", std::to_string(changesFrame.revision)}});
+        m_coordinator.requireRead(changesFrame.revision);
+        m_bindings.source.resume();
         return;
     }
     std::vector<directory::ItemChange> changes;
-    for (std::size_t i = 0; i < news.changes.size() && i < news.bases.size(); ++i) {
+    for (std::size_t i = 0; i < changesFrame.changes.size() && i < changesFrame.bases.size(); ++i) {
         // For a change that the replica already holds, the base value is no longer needed.
-        auto change = m_replica.fromDelta(news.changes[i], news.bases[i]);
+        auto change = m_replica.fromDelta(changesFrame.changes[i], changesFrame.bases[i]);
         if (!change) {
             break;
         }
         changes.push_back(std::move(*change));
     }
-    if (news.after > m_replica.revision() || changes.size() < news.changes.size()) {
+    if (changesFrame.after > m_replica.revision() || changes.size() < changesFrame.changes.size()) {
         logEvent(LogLevel::Info, "engine", "news-not-applicable",
                  {{"peer", peer.text()},
-                  {"after", std::to_string(news.after)},
+                  {"after", std::to_string(changesFrame.after)},
                   {"held", std::to_string(m_replica.revision())}});
         return;
     }
     // The frame may have been delayed on the link, so it does not show how fresh the replica is.
-    onDirectoryChanged(m_replica.applyChanges(changes, news.revision, TimePoint{},
+    onDirectoryChanged(m_replica.applyChanges(changes, changesFrame.revision, TimePoint{},
                                               wasSourceUnavailable(now), now),
                        "reader", now);
 }
--- a/src/celeryramp/engine/engine.h
+++ b/src/celeryramp/engine/engine.h
@@ -29,9 +29,9 @@
 
 /*! @brief Adapters and paths that a deployment supplies; the referenced objects outlive the engine.
  */
-struct EnginePorts
+struct DeploymentBindings
 {
-    const proxy::Dialect &dialect;
+    const proxy::HeaderAdapter &headerAdapter;
     const directory::ItemDecoder &decoder;
     directory::ItemSource &source;
     std::string readinessPath; /*!< Served at the readiness address. */
@@ -43,7 +43,7 @@
 class Engine final : public links::LinkEvents, public directory::ItemSink
 {
 public:
-    Engine(boost::asio::io_context &context, EngineSettings settings, EnginePorts ports);
+    Engine(boost::asio::io_context &context, EngineSettings settings, DeploymentBindings bindings);
     ~Engine() override;
 
     /*! @brief Opens the listening sockets and starts reading the published state.
@@ -51,11 +51,11 @@
     [[nodiscard]] Result<void, EngineError> start();
 
     /*!
-     * @brief Shuts the node down gracefully: stops admitting work, finishes running calls, then
-     * stops the context. Stops it shortly before the grace period of the settings ends at the
+     * @brief Begins a graceful shutdown of the node: stops admitting work, finishes running calls,
+     * then stops the context. Stops it shortly before the grace period of the settings ends at the
      * latest.
      */
-    void leave(TimePoint now);
+    void beginShutdown(TimePoint now);
 
     void onFrame(const Address &peer, std::string_view bytes) override;
     void onLinkOpen(const Address &peer) override;
@@ -72,7 +72,8 @@
 
 private:
     void tick();
-    void onNewsFrame(const Address &peer, const proxy::NewsFrame &news, TimePoint now);
+    void onChangesFrame(const Address &peer, const proxy::ChangesFrame &changesFrame,
+                        TimePoint now);
     void onSyncReply(const proxy::SyncReplyFrame &reply, TimePoint now);
     /*! @brief Logs changes of the replica and passes a new view to the gate. */
     void onDirectoryChanged(const std::vector<directory::ReplicaEvent> &beliefs, const char *source,
@@ -85,7 +86,7 @@
 
     boost::asio::io_context &m_context;
     EngineSettings m_settings;
-    EnginePorts m_ports;
+    DeploymentBindings m_bindings;
     MetricsRegistry m_metrics;
     directory::Replica m_replica;
     links::PeerLinks m_peers;
--- a/src/celeryramp/engine/request_dispatcher.cpp
+++ b/src/celeryramp/engine/request_dispatcher.cpp
@@ -47,7 +47,7 @@
       m_random{seed ^ 0x5bd1e995U}, m_nextId{(seed << 20U) | 1U}
 { }
 
-http::RequestBounds RequestDispatcher::requestBounds() const
+http::RequestLimits RequestDispatcher::requestLimits() const
 {
     if (const auto &routing = m_dependencies.replica.view()->routing) {
         return {routing->limits().headerBytes, routing->limits().bodyBytes};
@@ -83,18 +83,19 @@
               {"version", std::to_string(view->routing ? view->routing->version() : 0)},
               {"revision", std::to_string(m_dependencies.replica.revision())},
               {"age_ms", std::to_string(m_dependencies.replica.age(bootNow()).count())}});
-    connection->answer(m_dependencies.dialect.ownAnswer({status, reason, requestId, retryAfter}),
-                       false);
+    connection->answer(
+            m_dependencies.headerAdapter.localAnswer({status, reason, requestId, retryAfter}),
+            false);
 }
 
 void RequestDispatcher::onRequest(const http::CallerConnectionPtr &connection,
                                   http::Request request)
 {
     const auto now = bootNow();
-    const auto facts = m_dependencies.dialect.readCaller(request.headers);
+    const auto metadata = m_dependencies.headerAdapter.readCaller(request.headers);
     const auto &view = m_dependencies.replica.view();
     if (!view->routing) {
-        refuseRequest(connection, facts.requestId, 503, proxy::Reason::NoConfiguration,
+        refuseRequest(connection, metadata.requestId, 503, proxy::Reason::NoConfiguration,
                       internal::kRetryAfter);
         return;
     }
@@ -104,25 +105,25 @@
             = routing.findRoute(internal::normalizeHost(http::findHeader(request.headers, "Host")),
                                 target.substr(0, target.find('?')));
     if (route == nullptr) {
-        refuseRequest(connection, facts.requestId, 404, proxy::Reason::NoRoute, std::nullopt);
+        refuseRequest(connection, metadata.requestId, 404, proxy::Reason::NoRoute, std::nullopt);
         return;
     }
-    if (facts.requestId.empty()) {
-        refuseRequest(connection, facts.requestId, 400, proxy::Reason::BadRequest, std::nullopt);
+    if (metadata.requestId.empty()) {
+        refuseRequest(connection, metadata.requestId, 400, proxy::Reason::BadRequest, std::nullopt);
         return;
     }
     const directory::ClientAccount *account = nullptr;
-    if (routing.needsKeys() && facts.key) {
-        account = routing.findAccountByKey(*facts.key);
+    if (routing.needsKeys() && metadata.key) {
+        account = routing.findAccountByKey(*metadata.key);
     }
     if (routing.needsKeys() && !route->isOpen) {
         if (m_dependencies.replica.age(now) > m_dependencies.settings.keyFreshness) {
-            refuseRequest(connection, facts.requestId, 503, proxy::Reason::StaleKeys,
+            refuseRequest(connection, metadata.requestId, 503, proxy::Reason::StaleKeys,
                           internal::kRetryAfter);
             return;
         }
         if (account == nullptr) {
-            refuseRequest(connection, facts.requestId, 401, proxy::Reason::UnknownKey,
+            refuseRequest(connection, metadata.requestId, 401, proxy::Reason::UnknownKey,
                           std::nullopt);
             return;
         }
@@ -130,7 +131,7 @@
     if (account != nullptr
         && !m_dependencies.limiter.admit(*account, m_dependencies.coordinator.nodeCount(),
                                          m_random.unit(), now)) {
-        refuseRequest(connection, facts.requestId, 429, proxy::Reason::OverLimit,
+        refuseRequest(connection, metadata.requestId, 429, proxy::Reason::OverLimit,
                       internal::kRetryAfter, account->name,
                       m_dependencies.limiter.describe(*account, now));
         return;
@@ -138,34 +139,36 @@
     if (!m_dependencies.crashes.isEmpty()
         && m_dependencies.crashes.isQuarantined(
                 proxy::requestDigest(account != nullptr ? account->name : "", request), now)) {
-        refuseRequest(connection, facts.requestId, 503, proxy::Reason::Quarantined, std::nullopt);
+        refuseRequest(connection, metadata.requestId, 503, proxy::Reason::Quarantined,
+                      std::nullopt);
         return;
     }
     const auto id = m_nextId++;
-    proxy::CallTerms terms;
-    terms.service = m_splitChooser.choose(*route);
-    terms.isIdempotent = route->isIdempotent;
-    terms.maxAttempts = route->maxAttempts;
-    terms.target = now + (route->targetLatency.count() > 0 ? route->targetLatency : route->timeout);
-    terms.deadline
-            = now + std::min(facts.deadline.value_or(internal::kDefaultDeadline), route->timeout);
-    terms.maySpill = request.body.size() + m_answerSizes.expected(route->name)
+    proxy::CallPolicy policy;
+    policy.service = m_splitChooser.choose(*route);
+    policy.isIdempotent = route->isIdempotent;
+    policy.maxAttempts = route->maxAttempts;
+    policy.target
+            = now + (route->targetLatency.count() > 0 ? route->targetLatency : route->timeout);
+    policy.deadline = now
+            + std::min(metadata.deadline.value_or(internal::kDefaultDeadline), route->timeout);
+    policy.maySpill = request.body.size() + m_answerSizes.expected(route->name)
             <= proxy::spillAllowance(route->priority);
-    m_retryBudget.onFirstAttempt(terms.service);
+    m_retryBudget.onFirstAttempt(policy.service);
     auto &call = m_calls.emplace(id,
                                  Call{id,
                                       connection,
                                       view,
                                       route,
                                       {},
-                                      proxy::CallCourse{std::move(terms)},
+                                      proxy::CallDispatcher{std::move(policy)},
                                       now,
                                       {},
                                       nullptr})
                          .first->second;
     call.frame.id = id;
-    call.frame.requestId = facts.requestId;
-    call.frame.service = call.course.terms().service;
+    call.frame.requestId = metadata.requestId;
+    call.frame.service = call.dispatcher.policy().service;
     call.frame.account = account != nullptr ? account->name : "";
     call.frame.callerService = m_dependencies.settings.service;
     call.frame.isIdempotent = route->isIdempotent;
@@ -179,16 +182,16 @@
     }
     call.frame.request = std::move(request);
     http::eraseHopByHop(call.frame.request.headers);
-    m_dependencies.dialect.stripCaller(call.frame.request.headers);
+    m_dependencies.headerAdapter.stripCaller(call.frame.request.headers);
     m_callIdsByConnection[connection.get()] = id;
     call.timer = std::make_unique<boost::asio::steady_timer>(m_context);
-    call.timer->expires_after(call.course.terms().deadline - now);
+    call.timer->expires_after(call.dispatcher.policy().deadline - now);
     call.timer->async_wait([this, id](const boost::system::error_code &ec) {
         if (!ec) {
             onTimeout(id);
         }
     });
-    executeStep(call, call.course.begin(courseTools(), now), nullptr, now);
+    executeStep(call, call.dispatcher.begin(dispatchContext(), now), nullptr, now);
 }
 
 void RequestDispatcher::onBadRequest(int status)
@@ -198,7 +201,7 @@
 }
 
 std::vector<proxy::Candidate> RequestDispatcher::candidates(const std::string &service,
-                                                            const std::set<std::string> &asked,
+                                                            const std::set<std::string> &excluded,
                                                             TimePoint now) const
 {
     const auto &view = *m_dependencies.replica.view();
@@ -219,13 +222,14 @@
             continue;
         }
         const proxy::Candidate candidate{server, server->zone == m_dependencies.settings.zone,
-                                         asked.count(server->id) > 0};
+                                         excluded.count(server->id) > 0};
         const auto leaving = m_leavingNodes.find(server->address.host);
         const bool isLeaving = leaving != m_leavingNodes.end();
         (isLeaving ? leavingCandidates : preferred).push_back(candidate);
     }
-    const bool areAllAsked = std::all_of(preferred.begin(), preferred.end(),
-                                         [](const auto &candidate) { return candidate.isAsked; });
+    const bool areAllAsked
+            = std::all_of(preferred.begin(), preferred.end(),
+                          [](const auto &candidate) { return candidate.isExcluded; });
     if (areAllAsked) {
         preferred.insert(preferred.end(), leavingCandidates.begin(), leavingCandidates.end());
     }
@@ -235,7 +239,7 @@
 void RequestDispatcher::executeStep(Call &call, const proxy::CallStep &step,
                                     const proxy::ReplyFrame *reply, TimePoint now)
 {
-    if (const auto *next = std::get_if<proxy::AskStep>(&step)) {
+    if (const auto *next = std::get_if<proxy::OfferStep>(&step)) {
         sendToGate(call, *next, now);
     } else if (const auto *end = std::get_if<proxy::GiveUpStep>(&step)) {
         giveUp(call, *end, now);
@@ -245,12 +249,12 @@
     }
 }
 
-void RequestDispatcher::sendToGate(Call &call, const proxy::AskStep &step, TimePoint now)
+void RequestDispatcher::sendToGate(Call &call, const proxy::OfferStep &step, TimePoint now)
 {
     const auto &server = *step.server;
     call.frame.serverId = server.id;
-    call.frame.deadline = millisBetween(now, call.course.terms().deadline);
-    call.frame.target = millisBetween(now, call.course.terms().target);
+    call.frame.deadline = millisBetween(now, call.dispatcher.policy().deadline);
+    call.frame.target = millisBetween(now, call.dispatcher.policy().target);
     call.frame.mayQueue = step.mayBeLate;
     const auto id = call.id;
     if (server.address.host == m_dependencies.settings.links.host) {
@@ -285,17 +289,17 @@
 void RequestDispatcher::onGateReply(std::uint64_t id, const proxy::ReplyFrame &reply, TimePoint now)
 {
     const auto it = m_calls.find(id);
-    if (it == m_calls.end() || it->second.course.askedServer().empty()) {
+    if (it == m_calls.end() || it->second.dispatcher.pendingServer().empty()) {
         return;
     }
     auto &call = it->second;
-    executeStep(call, call.course.onReply(reply, courseTools(), now), &reply, now);
+    executeStep(call, call.dispatcher.onReply(reply, dispatchContext(), now), &reply, now);
 }
 
 void RequestDispatcher::giveUp(Call &call, const proxy::GiveUpStep &step, TimePoint now)
 {
     answer(call,
-           m_dependencies.dialect.ownAnswer(
+           m_dependencies.headerAdapter.localAnswer(
                    {step.status, step.reason, call.frame.requestId, step.retryAfter}),
            step.reason, now);
 }
@@ -330,13 +334,13 @@
                   {"account", call.frame.account},
                   {"version", std::to_string(call.view->routing->version())},
                   {"server", call.frame.serverId},
-                  {"asks", std::to_string(call.course.asks())},
-                  {"arrivals", std::to_string(call.course.arrivals())},
-                  {"expected_ms", std::to_string(call.course.expected().count())},
-                  {"took_late", call.course.takesLate() ? "1" : "0"},
-                  {"may_spill", call.course.terms().maySpill ? "1" : "0"},
+                  {"asks", std::to_string(call.dispatcher.offers())},
+                  {"arrivals", std::to_string(call.dispatcher.attempts())},
+                  {"expected_ms", std::to_string(call.dispatcher.likelyLatency().count())},
+                  {"took_late", call.dispatcher.allowsLate() ? "1" : "0"},
+                  {"may_spill", call.dispatcher.policy().maySpill ? "1" : "0"},
                   {"spent_ms", std::to_string(millisBetween(call.arrivedAt, now).count())},
-                  {"retry_ms", std::to_string(call.course.retryAfter().count())}});
+                  {"retry_ms", std::to_string(call.dispatcher.retryAfter().count())}});
     }
     const auto connection = call.connection;
     m_callIdsByConnection.erase(connection.get());
@@ -346,7 +350,7 @@
 
 void RequestDispatcher::cancelAtGate(Call &call, TimePoint now)
 {
-    if (call.course.askedServer().empty()) {
+    if (call.dispatcher.pendingServer().empty()) {
         return;
     }
     if (call.peer.host.empty()) {
@@ -367,7 +371,7 @@
     const auto now = bootNow();
     auto &call = it->second;
     cancelAtGate(call, now);
-    giveUp(call, call.course.onTimeout(courseTools(), now), now);
+    giveUp(call, call.dispatcher.onTimeout(dispatchContext(), now), now);
 }
 
 void RequestDispatcher::onClosed(const http::CallerConnectionPtr &connection)
@@ -387,10 +391,10 @@
     m_dependencies.metrics.counter("requests_total{outcome=\"cancelled\"}").add();
     logEvent(LogLevel::Info, "desk", "request-cancelled",
              {{"request", call.frame.requestId},
-              {"server", call.course.askedServer()},
+              {"server", call.dispatcher.pendingServer()},
               {"spent_ms", std::to_string(millisBetween(call.arrivedAt, now).count())}});
     cancelAtGate(call, now);
-    call.course.onCallerLeft(courseTools());
+    call.dispatcher.onCallerLeft(dispatchContext());
     m_calls.erase(it);
 }
 
@@ -399,7 +403,7 @@
     m_leavingNodes.erase(peer.host);
     std::vector<std::uint64_t> ids;
     for (const auto &[id, call] : m_calls) {
-        if (!call.course.askedServer().empty() && call.peer == peer) {
+        if (!call.dispatcher.pendingServer().empty() && call.peer == peer) {
             ids.push_back(id);
         }
     }
@@ -420,7 +424,7 @@
 bool RequestDispatcher::isAwaiting(const Address &peer) const
 {
     return std::any_of(m_calls.begin(), m_calls.end(), [&peer](const auto &entry) {
-        return !entry.second.course.askedServer().empty() && entry.second.peer == peer;
+        return !entry.second.dispatcher.pendingServer().empty() && entry.second.peer == peer;
     });
 }
 
@@ -435,7 +439,7 @@
     const auto limits = routing ? routing->limits() : directory::InputLimits{};
     const auto connections = m_connections;
     for (const auto &connection : connections) {
-        connection->sweep(limits.headerTimeout, limits.idleTimeout, now);
+        connection->checkTimeouts(limits.headerTimeout, limits.idleTimeout, now);
     }
 }
 
--- a/src/celeryramp/engine/request_dispatcher.h
+++ b/src/celeryramp/engine/request_dispatcher.h
@@ -16,7 +16,7 @@
 #include "http/caller_connection.h"
 #include "links/peer_links.h"
 #include "proxy/answer_sizes.h"
-#include "proxy/call_course.h"
+#include "proxy/call_dispatcher.h"
 #include "proxy/fleet_limiter.h"
 #include "proxy/server_picker.h"
 #include "proxy/split_chooser.h"
@@ -28,7 +28,7 @@
 struct DispatcherDependencies
 {
     const EngineSettings &settings;
-    const proxy::Dialect &dialect;
+    const proxy::HeaderAdapter &headerAdapter;
     directory::Replica &replica;
     links::PeerLinks &peers;
     BackendGate &gate;
@@ -53,7 +53,7 @@
     void onRequest(const http::CallerConnectionPtr &connection, http::Request request) override;
     void onBadRequest(int status) override;
     void onClosed(const http::CallerConnectionPtr &connection) override;
-    [[nodiscard]] http::RequestBounds requestBounds() const override;
+    [[nodiscard]] http::RequestLimits requestLimits() const override;
 
     /*! @brief Serves a newly accepted connection of a caller. */
     void accept(boost::asio::ip::tcp::socket socket, TimePoint now);
@@ -87,20 +87,21 @@
         directory::DirectoryPtr view;
         const directory::Route *route = nullptr;
         proxy::CallFrame frame;
-        proxy::CallCourse course;
+        proxy::CallDispatcher dispatcher;
         TimePoint arrivedAt;
-        Address peer; /*!< Node of the gate asked now; the host is empty for the local gate. */
+        Address peer; /*!< Node of the gate that was offered the call last; the host is empty for
+                         the local gate. */
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
 
-    /*! @brief Answers a request that no gate was asked for. */
+    /*! @brief Answers a request that was offered to no gate. */
     void refuseRequest(const http::CallerConnectionPtr &connection, const std::string &requestId,
                        int status, proxy::Reason reason, std::optional<Millis> retryAfter,
                        const std::string &account = {}, const std::string &detail = {});
-    void sendToGate(Call &call, const proxy::AskStep &step, TimePoint now);
+    void sendToGate(Call &call, const proxy::OfferStep &step, TimePoint now);
     void onGateReply(std::uint64_t id, const proxy::ReplyFrame &reply, TimePoint now);
     [[nodiscard]] std::vector<proxy::Candidate> candidates(const std::string &service,
-                                                           const std::set<std::string> &asked,
+                                                           const std::set<std::string> &excluded,
                                                            TimePoint now) const override;
     /*!
      * @brief Carries out the next step of a call.
@@ -108,7 +109,7 @@
      */
     void executeStep(Call &call, const proxy::CallStep &step, const proxy::ReplyFrame *reply,
                      TimePoint now);
-    [[nodiscard]] proxy::CourseTools courseTools()
+    [[nodiscard]] proxy::DispatchContext dispatchContext()
     {
         return {m_serverPicker, m_retryBudget, *this};
     }
--- a/src/celeryramp/proxy/call_course.h
+++ b/src/celeryramp/proxy/call_dispatcher.h
@@ -13,7 +13,7 @@
 namespace celeryramp::proxy {
 
 /*! @brief Limits and options of a call, from its route and its caller. */
-struct CallTerms
+struct CallPolicy
 {
     std::string service;
     bool isIdempotent = false;
@@ -24,7 +24,7 @@
 };
 
 /*! @brief Next step of a call: offer it to the gate of this server. */
-struct AskStep
+struct OfferStep
 {
     const directory::BackendServer *server = nullptr;
     bool mayBeLate = false; /*!< The gate may queue it beyond its target. */
@@ -43,21 +43,21 @@
     std::optional<Millis> retryAfter; /*!< Set only if no server ran the call or will run it. */
 };
 
-using CallStep = std::variant<AskStep, AnswerStep, GiveUpStep>;
+using CallStep = std::variant<OfferStep, AnswerStep, GiveUpStep>;
 
 /*! @brief Provides the servers that a call may be sent to. */
 class CandidateSource
 {
 public:
     virtual ~CandidateSource() = default;
-    /*! @param asked Ids of the servers to mark with `Candidate::isAsked`. */
+    /*! @param excluded Ids of the servers to mark with `Candidate::isExcluded`. */
     [[nodiscard]] virtual std::vector<Candidate> candidates(const std::string &service,
-                                                            const std::set<std::string> &asked,
+                                                            const std::set<std::string> &excluded,
                                                             TimePoint now) const = 0;
 };
 
 /*! @brief Objects that all calls of a node share. */
-struct CourseTools
+struct DispatchContext
 {
     ServerPicker &picker;
     RetryBudget &retries;
@@ -73,43 +73,43 @@
  * cases only within the attempts of its route and the retry budget. A call that a server may have
  * executed is never reported as not run.
  */
-class CallCourse
+class CallDispatcher
 {
 public:
-    explicit CallCourse(CallTerms terms) : m_terms{std::move(terms)} { }
+    explicit CallDispatcher(CallPolicy policy) : m_policy{std::move(policy)} { }
 
     /*! @return The first step of the call. */
-    [[nodiscard]] CallStep begin(const CourseTools &tools, TimePoint now);
+    [[nodiscard]] CallStep begin(const DispatchContext &context, TimePoint now);
     /*! @brief Handles the reply of the gate, or the loss of its node. @return The next step. */
-    [[nodiscard]] CallStep onReply(const ReplyFrame &reply, const CourseTools &tools,
+    [[nodiscard]] CallStep onReply(const ReplyFrame &reply, const DispatchContext &context,
                                    TimePoint now);
     /*! @brief Ends the call when its deadline or the timeout of its route is reached. */
-    [[nodiscard]] GiveUpStep onTimeout(const CourseTools &tools, TimePoint now);
+    [[nodiscard]] GiveUpStep onTimeout(const DispatchContext &context, TimePoint now);
     /*! @brief Handles that the caller closed its connection or cancelled the call. */
-    void onCallerLeft(const CourseTools &tools);
+    void onCallerLeft(const DispatchContext &context);
 
     /*! @return Id of the server whose gate has yet to reply; empty if there is none. */
-    [[nodiscard]] const std::string &askedServer() const noexcept { return m_pendingServer; }
+    [[nodiscard]] const std::string &pendingServer() const noexcept { return m_pendingServer; }
     /*! @return Number of gates that the call was offered to. */
-    [[nodiscard]] int asks() const noexcept { return m_offers; }
+    [[nodiscard]] int offers() const noexcept { return m_offers; }
     /*! @return Number of attempts that reached a server. */
-    [[nodiscard]] int arrivals() const noexcept { return m_attempts; }
+    [[nodiscard]] int attempts() const noexcept { return m_attempts; }
     [[nodiscard]] Millis retryAfter() const noexcept { return m_retryAfter; }
     /*! @return Likely latency of the last chosen server, see `Choice`. */
-    [[nodiscard]] Millis expected() const noexcept { return m_likelyLatency; }
+    [[nodiscard]] Millis likelyLatency() const noexcept { return m_likelyLatency; }
     /*! @return True once the call is offered for an answer after its target. */
-    [[nodiscard]] bool takesLate() const noexcept { return m_allowsLate; }
-    [[nodiscard]] const CallTerms &terms() const noexcept { return m_terms; }
+    [[nodiscard]] bool allowsLate() const noexcept { return m_allowsLate; }
+    [[nodiscard]] const CallPolicy &policy() const noexcept { return m_policy; }
 
 private:
-    [[nodiscard]] CallStep advance(const CourseTools &tools, TimePoint now);
-    [[nodiscard]] Choice choose(const CourseTools &tools, TimePoint now);
-    [[nodiscard]] bool mayRepeat(const CourseTools &tools, TimePoint now) const;
-    [[nodiscard]] CallStep onNotRun(const ReplyFrame &reply, const CourseTools &tools,
+    [[nodiscard]] CallStep advance(const DispatchContext &context, TimePoint now);
+    [[nodiscard]] Choice choose(const DispatchContext &context, TimePoint now);
+    [[nodiscard]] bool mayRepeat(const DispatchContext &context, TimePoint now) const;
+    [[nodiscard]] CallStep onNotRun(const ReplyFrame &reply, const DispatchContext &context,
                                     TimePoint now);
     [[nodiscard]] GiveUpStep giveUp() const;
 
-    CallTerms m_terms;
+    CallPolicy m_policy;
     std::set<std::string>
             m_triedServers; /*!< Ids of the servers whose gates were offered the call. */
     std::string m_pendingServer;
--- a/src/celeryramp/proxy/frame_codec.cpp
+++ b/src/celeryramp/proxy/frame_codec.cpp
@@ -90,7 +90,7 @@
     out.push_back(frame.reachedServer);
     out.push_back(Json::array({frame.load.running, frame.load.waiting, frame.load.slots,
                                frame.load.serviceMillis, frame.load.coldWaitMillis,
-                               frame.load.badPercent}));
+                               frame.load.failurePercent}));
     if (frame.kind == ReplyKind::Answer) {
         out.push_back(frame.answer.status);
         out.push_back(binary(frame.answer.reason));
@@ -245,7 +245,7 @@
                         json.at(3).get<std::uint64_t>()};
 }
 
-void append(Json &out, const NewsFrame &frame)
+void append(Json &out, const ChangesFrame &frame)
 {
     out.push_back(frame.after);
     out.push_back(frame.revision);
@@ -260,7 +260,7 @@
 
 [[nodiscard]] Frame readNews(const Json &json)
 {
-    NewsFrame frame;
+    ChangesFrame frame;
     frame.after = json.at(1).get<std::int64_t>();
     frame.revision = json.at(2).get<std::int64_t>();
     for (std::size_t i = 3; i + 3 < json.size(); i += 4) {
@@ -273,14 +273,14 @@
     return frame;
 }
 
-void append(Json &out, const ReaderFrame &frame)
+void append(Json &out, const ReaderStatusFrame &frame)
 {
     out.push_back(frame.canRead);
 }
 
 [[nodiscard]] Frame readReader(const Json &json)
 {
-    return ReaderFrame{json.at(1).get<bool>()};
+    return ReaderStatusFrame{json.at(1).get<bool>()};
 }
 
 using ReadFrame = Frame (*)(const Json &);
--- a/src/celeryramp/proxy/frames.h
+++ b/src/celeryramp/proxy/frames.h
@@ -124,7 +124,7 @@
 
 /*! @brief Directory changes that a node has read from the platform, for the nodes of its zone.
  * Without changes it announces a revision whose changes are too large to send. */
-struct NewsFrame
+struct ChangesFrame
 {
     std::int64_t after = 0; /*!< Revision that the changes apply to. */
     std::int64_t revision = 0;
@@ -142,13 +142,13 @@
 };
 
 /*! @brief Announces whether the sending node can read the platform. */
-struct ReaderFrame
+struct ReaderStatusFrame
 {
     bool canRead = false;
 };
 
-using Frame
-        = std::variant<CallFrame, ReplyFrame, CancelFrame, LeavingFrame, UsageFrame, LevelsFrame,
-                       SyncRequestFrame, SyncReplyFrame, SuspectFrame, NewsFrame, ReaderFrame>;
+using Frame = std::variant<CallFrame, ReplyFrame, CancelFrame, LeavingFrame, UsageFrame,
+                           LevelsFrame, SyncRequestFrame, SyncReplyFrame, SuspectFrame,
+                           ChangesFrame, ReaderStatusFrame>;
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/fwd.h
+++ b/src/celeryramp/proxy/fwd.h
@@ -8,14 +8,14 @@
 namespace celeryramp::proxy {
 
 class AnswerSizes;
-class CallCourse;
+class CallDispatcher;
 struct CallFrame;
-class Dialect;
+class HeaderAdapter;
 struct GateLoad;
 class FleetLimiter;
 class ServerGate;
 class ServerPicker;
 class SplitChooser;
-class UsageLedger;
+class UsageAggregator;
 
 } // namespace celeryramp::proxy
--- a/src/celeryramp/proxy/server_gate.h
+++ b/src/celeryramp/proxy/server_gate.h
@@ -8,7 +8,7 @@
 #include "core/time.h"
 #include "proxy/cold_start_limiter.h"
 #include "proxy/gate_load.h"
-#include "proxy/handover_end.h"
+#include "proxy/handover_outcome.h"
 #include "proxy/reason.h"
 
 namespace celeryramp::proxy {
@@ -51,7 +51,7 @@
 
     /*! @brief Refuses all calls with this reason from now on; `None` reopens the gate. */
     void setClosed(Reason reason) noexcept { m_closedReason = reason; }
-    [[nodiscard]] Reason closed() const noexcept { return m_closedReason; }
+    [[nodiscard]] Reason closedReason() const noexcept { return m_closedReason; }
 
     [[nodiscard]] ColdStartLimiter &cold() noexcept { return m_cold; }
 
@@ -67,7 +67,7 @@
     [[nodiscard]] std::vector<GateRefusal> expire(TimePoint now);
 
     /*! @brief Records the end of a running call. @param spent Time since it was handed over. */
-    void finished(HandoverEnd end, Micros spent, TimePoint now);
+    void finished(HandoverOutcome outcome, Micros spent, TimePoint now);
 
     /*! @brief Removes a queued call. @return False if it was not in the queue. */
     bool cancel(std::uint64_t ticket);
--- a/src/celeryramp/proxy/server_picker.cpp
+++ b/src/celeryramp/proxy/server_picker.cpp
@@ -48,7 +48,7 @@
             continue;
         }
         const auto &state = stateIt->second;
-        const double rawShare = std::max(state.failureShare, state.load.badPercent / 100.0);
+        const double rawShare = std::max(state.failureShare, state.load.failurePercent / 100.0);
         const double decay
                 = std::exp(-secondsBetween(state.updatedAt, now) / internal::kFailureDecaySeconds);
         entries.push_back({&candidate, &state, rawShare * decay});
@@ -148,7 +148,7 @@
     std::vector<const Entry *> healthy;
     std::vector<const Entry *> others;
     for (const auto &entry : entries) {
-        if (!entry.candidate->isAsked && entry.candidate->isLocalZone == isLocalZone) {
+        if (!entry.candidate->isExcluded && entry.candidate->isLocalZone == isLocalZone) {
             (isHealthy(entry, summary) ? healthy : others).push_back(&entry);
         }
     }
--- a/test/engine/engine.cpp
+++ b/test/engine/engine.cpp
@@ -192,7 +192,7 @@
     settings.readiness = {"127.0.0.21", Mesh::kReadinessPort};
     settings.backend = {"127.0.0.21", Mesh::kServerPort};
     engine::Engine node{mesh.context, settings,
-                        engine::EnginePorts{dialect, decoder, source, "/ready", "/metrics"}};
+                        engine::DeploymentBindings{dialect, decoder, source, "/ready", "/metrics"}};
     REQUIRE(node.start());
     auto outcome = std::make_shared<Outcome>();
     const auto ask = [&](std::uint16_t port, const char *target) {
@@ -219,7 +219,7 @@
     Mesh mesh{2};
     std::vector<std::shared_ptr<Outcome>> outcomes;
     std::vector<http::ClientConnectionPtr> callers;
-    mesh.nodes[1]->engine->leave(bootNow());
+    mesh.nodes[1]->engine->beginShutdown(bootNow());
     const auto end = bootNow() + Millis{5400};
     while (bootNow() < end) {
         outcomes.push_back(std::make_shared<Outcome>());
--- a/test/proxy/call_course.cpp
+++ b/test/proxy/call_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "proxy/call_course.h"
+#include "proxy/call_dispatcher.h"
 
 #include <map>
 #include <string>
@@ -28,16 +28,17 @@
     }
 
     [[nodiscard]] std::vector<Candidate>
-    candidates(const std::string &, const std::set<std::string> &asked, TimePoint) const override
+    candidates(const std::string &, const std::set<std::string> &excluded, TimePoint) const override
     {
         std::vector<Candidate> pool;
         for (const auto &server : m_servers) {
-            pool.push_back({&server, server.id.rfind("near", 0) == 0, asked.count(server.id) > 0});
+            pool.push_back(
+                    {&server, server.id.rfind("near", 0) == 0, excluded.count(server.id) > 0});
         }
         return pool;
     }
 
-    CourseTools tools() { return {m_picker, m_retries, *this}; }
+    DispatchContext dispatchContext() { return {m_picker, m_retries, *this}; }
     RetryBudget &retries() { return m_retries; }
 
 private:
@@ -46,7 +47,7 @@
     RetryBudget m_retries{0.2, 10.0, 10.0};
 };
 
-CallTerms terms(bool isIdempotent = true, int maxAttempts = 2)
+CallPolicy policy(bool isIdempotent = true, int maxAttempts = 2)
 {
     return {"stock", isIdempotent, maxAttempts, kStart + Millis{500}, kStart + Millis{1200}};
 }
@@ -82,9 +83,9 @@
 TEST_CASE("A call that is not idempotent is not retried once it may have run")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{terms(false)};
-    REQUIRE(std::holds_alternative<AskStep>(course.begin(service.tools(), kStart)));
-    const auto step = course.onReply(lost(), service.tools(), kStart + Millis{10});
+    CallDispatcher dispatcher{policy(false)};
+    REQUIRE(std::holds_alternative<OfferStep>(dispatcher.begin(service.dispatchContext(), kStart)));
+    const auto step = dispatcher.onReply(lost(), service.dispatchContext(), kStart + Millis{10});
     REQUIRE(std::get<GiveUpStep>(step).status == 502);
     REQUIRE_FALSE(std::get<GiveUpStep>(step).retryAfter);
 }
@@ -92,43 +93,47 @@
 TEST_CASE("A server error of a call that is not idempotent is forwarded unchanged")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{terms(false)};
-    static_cast<void>(course.begin(service.tools(), kStart));
+    CallDispatcher dispatcher{policy(false)};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
     REQUIRE(std::holds_alternative<AnswerStep>(
-            course.onReply(answered(500), service.tools(), kStart + Millis{10})));
+            dispatcher.onReply(answered(500), service.dispatchContext(), kStart + Millis{10})));
 }
 
 TEST_CASE("An idempotent call is retried within its attempts")
 {
     TestService service{"near-1", "near-2", "near-3"};
-    CallCourse course{terms(true, 2)};
-    const auto first = std::get<AskStep>(course.begin(service.tools(), kStart));
-    const auto second = std::get<AskStep>(course.onReply(lost(), service.tools(), kStart));
+    CallDispatcher dispatcher{policy(true, 2)};
+    const auto first = std::get<OfferStep>(dispatcher.begin(service.dispatchContext(), kStart));
+    const auto second
+            = std::get<OfferStep>(dispatcher.onReply(lost(), service.dispatchContext(), kStart));
     REQUIRE(first.server->id != second.server->id);
-    const auto end = std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart));
+    const auto end
+            = std::get<GiveUpStep>(dispatcher.onReply(lost(), service.dispatchContext(), kStart));
     REQUIRE(end.status == 502);
-    REQUIRE(course.arrivals() == 2);
+    REQUIRE(dispatcher.attempts() == 2);
 }
 
 TEST_CASE("A call that may have run is not reported as not run after a refusal by another server")
 {
     TestService service{"near-1", "near-2"};
-    CallCourse course{terms(true, 3)};
-    static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(std::holds_alternative<AskStep>(course.onReply(lost(), service.tools(), kStart)));
-    const auto end = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
+    CallDispatcher dispatcher{policy(true, 3)};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
+    REQUIRE(std::holds_alternative<OfferStep>(
+            dispatcher.onReply(lost(), service.dispatchContext(), kStart)));
+    const auto end = dispatcher.onReply(refusal(Reason::Busy), service.dispatchContext(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 502);
 }
 
 TEST_CASE("Refusals by gates cost no attempt but refusals by servers do")
 {
     TestService service{"near-1", "near-2", "near-3", "far-1"};
-    CallCourse course{terms(false, 1)};
-    static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(std::holds_alternative<AskStep>(
-            course.onReply(refusal(Reason::Draining), service.tools(), kStart)));
-    REQUIRE(course.arrivals() == 0);
-    const auto end = course.onReply(refusal(Reason::Shed, true), service.tools(), kStart);
+    CallDispatcher dispatcher{policy(false, 1)};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
+    REQUIRE(std::holds_alternative<OfferStep>(
+            dispatcher.onReply(refusal(Reason::Draining), service.dispatchContext(), kStart)));
+    REQUIRE(dispatcher.attempts() == 0);
+    const auto end
+            = dispatcher.onReply(refusal(Reason::Shed, true), service.dispatchContext(), kStart);
     REQUIRE(std::get<GiveUpStep>(end).status == 503);
     REQUIRE(std::get<GiveUpStep>(end).retryAfter);
 }
@@ -137,37 +142,39 @@
 {
     TestService service{"near-1", "near-2", "near-3"};
     while (service.retries().trySpend("stock")) { }
-    CallCourse course{terms(true, 3)};
-    static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(std::get<GiveUpStep>(course.onReply(lost(), service.tools(), kStart)).status == 502);
+    CallDispatcher dispatcher{policy(true, 3)};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
+    REQUIRE(std::get<GiveUpStep>(dispatcher.onReply(lost(), service.dispatchContext(), kStart))
+                    .status
+            == 502);
 }
 
 TEST_CASE("Pattern: a large zone is full - other zones are tried before the offers are used up")
 {
     TestService service{"near-1", "near-2", "near-3", "near-4", "near-5",
                         "near-6", "near-7", "near-8", "near-9", "far-1"};
-    CallCourse course{terms()};
-    auto step = course.begin(service.tools(), kStart);
-    bool hasAskedFar = false;
-    for (int i = 0; i < 6 && std::holds_alternative<AskStep>(step); ++i) {
-        const auto &ask = std::get<AskStep>(step);
-        hasAskedFar = hasAskedFar || ask.server->id == "far-1";
+    CallDispatcher dispatcher{policy()};
+    auto step = dispatcher.begin(service.dispatchContext(), kStart);
+    bool hasOfferedFar = false;
+    for (int i = 0; i < 6 && std::holds_alternative<OfferStep>(step); ++i) {
+        const auto &offer = std::get<OfferStep>(step);
+        hasOfferedFar = hasOfferedFar || offer.server->id == "far-1";
         auto reply = refusal(Reason::Busy);
         reply.load.waiting = 100;
-        step = course.onReply(reply, service.tools(), kStart);
+        step = dispatcher.onReply(reply, service.dispatchContext(), kStart);
     }
-    REQUIRE(hasAskedFar);
+    REQUIRE(hasOfferedFar);
 }
 
 TEST_CASE("Pattern: overload - few gates are offered the call late and then it is refused")
 {
     TestService service{"near-1", "near-2", "near-3", "near-4", "near-5", "near-6"};
-    CallCourse course{terms()};
-    auto step = course.begin(service.tools(), kStart);
+    CallDispatcher dispatcher{policy()};
+    auto step = dispatcher.begin(service.dispatchContext(), kStart);
     int late = 0;
-    while (std::holds_alternative<AskStep>(step)) {
-        late += std::get<AskStep>(step).mayBeLate ? 1 : 0;
-        step = course.onReply(refusal(Reason::Busy), service.tools(), kStart);
+    while (std::holds_alternative<OfferStep>(step)) {
+        late += std::get<OfferStep>(step).mayBeLate ? 1 : 0;
+        step = dispatcher.onReply(refusal(Reason::Busy), service.dispatchContext(), kStart);
     }
     REQUIRE(late == 4);
     const auto end = std::get<GiveUpStep>(step);
@@ -179,13 +186,13 @@
 TEST_CASE("A timeout at a gate ends as a timeout and a call without servers as not run")
 {
     TestService service{"near-1"};
-    CallCourse course{terms()};
-    static_cast<void>(course.begin(service.tools(), kStart));
-    REQUIRE(course.onTimeout(service.tools(), kStart + Millis{1200}).status == 504);
+    CallDispatcher dispatcher{policy()};
+    static_cast<void>(dispatcher.begin(service.dispatchContext(), kStart));
+    REQUIRE(dispatcher.onTimeout(service.dispatchContext(), kStart + Millis{1200}).status == 504);
 
     TestService empty{};
-    CallCourse other{terms()};
-    const auto end = std::get<GiveUpStep>(other.begin(empty.tools(), kStart));
+    CallDispatcher other{policy()};
+    const auto end = std::get<GiveUpStep>(other.begin(empty.dispatchContext(), kStart));
     REQUIRE(end.status == 503);
     REQUIRE(end.reason == Reason::NoServer);
 }
