--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -13,7 +13,7 @@
 #include "gate/ledger_home.h"
 #include "gate/ledger_homes.h"
 #include "limits/minter.h"
-#include "limits/wallet.h"
+#include "limits/token_cache.h"
 #include "membership/topology.h"
 #include "routing/picker.h"
 #include "wire/codec.h"
@@ -127,7 +127,7 @@
 void admitFromPurse(benchmark::State &state)
 {
     const auto snapshot = snapshotOf(1400, static_cast<int>(state.range(0)));
-    Wallet wallet{"zone-0"};
+    TokenCache wallet{"zone-0"};
     auto now = Clock::now();
     wallet.onSnapshot(snapshot, now);
     const auto &account = *snapshot->findAccount("account-1");
--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -19,7 +19,7 @@
 #include "lab/deployment.h"
 #include "limits/account_share.h"
 #include "limits/minter.h"
-#include "limits/wallet.h"
+#include "limits/token_cache.h"
 
 namespace {
 
@@ -79,7 +79,7 @@
     }
 };
 
-/*! Discrete events over real wallets and minters. */
+/*! Discrete events over real token caches and minters. */
 class Fleet
 {
 public:
@@ -90,7 +90,7 @@
         for (const auto &[name, server] : m_snapshot->model().servers) {
             m_zones[name] = server.zone;
             m_minters.emplace(name, Minter{name});
-            m_wallets.emplace(name, Wallet{server.zone});
+            m_wallets.emplace(name, TokenCache{server.zone});
             m_minters.at(name).onSnapshot(m_snapshot, at(0));
             m_wallets.at(name).onSnapshot(m_snapshot, at(0));
         }
@@ -234,7 +234,7 @@
     SnapshotPtr m_snapshot;
     std::map<std::string, std::string> m_zones;
     std::map<std::string, Minter> m_minters;
-    std::map<std::string, Wallet> m_wallets;
+    std::map<std::string, TokenCache> m_wallets;
     std::priority_queue<Event> m_events;
     std::map<std::uint64_t, std::function<void()>> m_actions;
     std::uint64_t m_lastAction = 0;
--- a/src/celeryramp/limits/fwd.h
+++ b/src/celeryramp/limits/fwd.h
@@ -9,6 +9,6 @@
 
 struct AccountShare;
 class Minter;
-class Wallet;
+class TokenCache;
 
 } // namespace celeryramp
--- a/src/celeryramp/limits/wallet.cpp
+++ b/src/celeryramp/limits/token_cache.cpp
@@ -1,4 +1,4 @@
-#include "limits/wallet.h"
+#include "limits/token_cache.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,7 +19,7 @@
 
 } // namespace internal
 
-void Wallet::onSnapshot(SnapshotPtr snapshot, TimePoint now)
+void TokenCache::onSnapshot(SnapshotPtr snapshot, TimePoint now)
 {
     m_snapshot = std::move(snapshot);
     for (auto it = m_entries.begin(); it != m_entries.end();) {
@@ -33,8 +33,8 @@
     }
 }
 
-AdmissionResult Wallet::admit(const ClientAccount &account, std::vector<std::string> &triedMinters,
-                              TimePoint now)
+AdmissionResult TokenCache::admit(const ClientAccount &account,
+                                  std::vector<std::string> &triedMinters, TimePoint now)
 {
     if (!m_snapshot) {
         return {};
@@ -67,7 +67,7 @@
     return {Admission::Wait, requestTokens(entry, account, *minter, true, now)};
 }
 
-void Wallet::onGrant(std::uint64_t id, const Grant &grant, TimePoint now)
+void TokenCache::onGrant(std::uint64_t id, const Grant &grant, TimePoint now)
 {
     const auto it = m_pending.find(id);
     if (it == m_pending.end()) {
@@ -98,7 +98,7 @@
     credits.insert(position, Credit{std::min(grant.granted, pending.request.amount), expiresAt});
 }
 
-std::string Wallet::onUnreachable(std::uint64_t id, TimePoint now)
+std::string TokenCache::onUnreachable(std::uint64_t id, TimePoint now)
 {
     const auto it = m_pending.find(id);
     if (it == m_pending.end()) {
@@ -117,7 +117,7 @@
     return pending.request.account;
 }
 
-MicroTokens Wallet::balance(const std::string &account, TimePoint now)
+MicroTokens TokenCache::balance(const std::string &account, TimePoint now)
 {
     const auto it = m_entries.find(account);
     if (it == m_entries.end()) {
@@ -127,7 +127,7 @@
     return totalCredits(it->second);
 }
 
-Wallet::AccountEntry &Wallet::entryOf(const ClientAccount &account, TimePoint now)
+TokenCache::AccountEntry &TokenCache::entryOf(const ClientAccount &account, TimePoint now)
 {
     const auto [it, added] = m_entries.try_emplace(account.name);
     if (added) {
@@ -137,7 +137,8 @@
     return it->second;
 }
 
-void Wallet::resetEstimates(AccountEntry &entry, const ClientAccount &account, TimePoint now) const
+void TokenCache::resetEstimates(AccountEntry &entry, const ClientAccount &account,
+                                TimePoint now) const
 {
     entry.minters.clear();
     for (const auto &zone : mintingZones(*m_snapshot)) {
@@ -149,7 +150,7 @@
     }
 }
 
-void Wallet::updateDemand(AccountEntry &entry, TimePoint now)
+void TokenCache::updateDemand(AccountEntry &entry, TimePoint now)
 {
     const auto elapsed = std::max(0.0, secondsBetween(entry.lastCall, now));
     entry.demandPerSecond *= std::exp(-elapsed / internal::kDemandWindowSeconds);
@@ -157,14 +158,14 @@
     entry.lastCall = now;
 }
 
-void Wallet::dropExpiredCredits(AccountEntry &entry, TimePoint now)
+void TokenCache::dropExpiredCredits(AccountEntry &entry, TimePoint now)
 {
     while (!entry.credits.empty() && entry.credits.front().expiresAt <= now) {
         entry.credits.pop_front();
     }
 }
 
-MicroTokens Wallet::totalCredits(const AccountEntry &entry)
+MicroTokens TokenCache::totalCredits(const AccountEntry &entry)
 {
     MicroTokens sum = 0;
     for (const auto &credit : entry.credits) {
@@ -173,7 +174,7 @@
     return sum;
 }
 
-void Wallet::debit(AccountEntry &entry, MicroTokens amount)
+void TokenCache::debit(AccountEntry &entry, MicroTokens amount)
 {
     while (amount > 0) {
         auto &first = entry.credits.front();
@@ -186,9 +187,9 @@
     }
 }
 
-Wallet::MinterEstimate *Wallet::chooseMinter(AccountEntry &entry,
-                                             const std::vector<std::string> &triedMinters,
-                                             TimePoint now) const
+TokenCache::MinterEstimate *TokenCache::chooseMinter(AccountEntry &entry,
+                                                     const std::vector<std::string> &triedMinters,
+                                                     TimePoint now) const
 {
     MinterEstimate *best = nullptr;
     auto availableTokens = double(totalCredits(entry));
@@ -221,8 +222,8 @@
     return isRefused ? nullptr : best;
 }
 
-TokenAsk Wallet::requestTokens(AccountEntry &entry, const ClientAccount &account,
-                               MinterEstimate &minter, bool isWaiting, TimePoint now)
+TokenAsk TokenCache::requestTokens(AccountEntry &entry, const ClientAccount &account,
+                                   MinterEstimate &minter, bool isWaiting, TimePoint now)
 {
     const auto price = double(kMicroTokensPerCall);
     const auto prefetchAmount = std::min(entry.demandPerSecond * internal::kPrefetchSeconds * price,
@@ -237,7 +238,7 @@
     return request;
 }
 
-void Wallet::expireRequests(TimePoint now)
+void TokenCache::expireRequests(TimePoint now)
 {
     while (!m_pending.empty()
            && now - m_pending.begin()->second.requestedAt >= internal::kRequestTimeout) {
--- a/src/celeryramp/limits/wallet.h
+++ b/src/celeryramp/limits/token_cache.h
@@ -44,11 +44,11 @@
  * that neither message delays nor clock differences extend it. Tokens are requested in advance, so
  * that most calls are admitted without a message.
  */
-class Wallet
+class TokenCache
 {
 public:
     /*! @param zone Zone of this node; its minters are preferred. */
-    explicit Wallet(std::string zone) : m_zone{std::move(zone)} { }
+    explicit TokenCache(std::string zone) : m_zone{std::move(zone)} { }
 
     /*!
      * @brief Applies a new configuration.
--- a/src/celeryramp/node/accounts_desk.h
+++ b/src/celeryramp/node/accounts_desk.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "limits/wallet.h"
+#include "limits/token_cache.h"
 #include "node/post_office.h"
 #include "node/waiter_table.h"
 
@@ -38,7 +38,7 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::uint64_t m_grants = 0; /*!< Counts changes that a waiting call should look at. */
-    Wallet m_wallet;
+    TokenCache m_wallet;
     PostOffice &m_post;
 };
 
--- a/test/limits/rate_bound.cpp
+++ b/test/limits/rate_bound.cpp
@@ -6,7 +6,7 @@
 
 #include "limits/account_share.h"
 #include "limits/minter.h"
-#include "limits/wallet.h"
+#include "limits/token_cache.h"
 #include "support/sample_config.h"
 
 using namespace celeryramp;
@@ -14,7 +14,8 @@
 
 namespace {
 
-/*! Wallets and minters of several nodes; tests delay, lose or duplicate the messages between them.
+/*! Token caches and minters of several nodes; tests delay, lose or duplicate the messages between
+ * them.
  */
 class Fleet
 {
@@ -25,9 +26,9 @@
         for (const auto &[name, server] : m_snapshot->model().servers) {
             m_names.push_back(name);
             m_minters.emplace(name, Minter{name});
-            m_wallets.emplace(name, Wallet{server.zone});
+            m_tokenCaches.emplace(name, TokenCache{server.zone});
             m_minters.at(name).onSnapshot(m_snapshot, at(0));
-            m_wallets.at(name).onSnapshot(m_snapshot, at(0));
+            m_tokenCaches.at(name).onSnapshot(m_snapshot, at(0));
         }
     }
 
@@ -61,7 +62,7 @@
             const auto message = m_grants[i];
             m_grants.erase(m_grants.begin() + std::ptrdiff_t(i));
             for (int n = lose ? 0 : (duplicate ? 2 : 1); n > 0; --n) {
-                m_wallets.at(message.to).onGrant(message.id, message.grant, at(now));
+                m_tokenCaches.at(message.to).onGrant(message.id, message.grant, at(now));
                 auto tried = message.tried;
                 if (!tried.empty()) {
                     admit(message.to, tried, now);
@@ -80,7 +81,7 @@
     {
         const auto snapshot = testsupport::sampleSnapshot(2, shape);
         m_minters.at(name).onSnapshot(snapshot, at(now));
-        m_wallets.at(name).onSnapshot(snapshot, at(now));
+        m_tokenCaches.at(name).onSnapshot(snapshot, at(now));
     }
 
     Minter &minter(const std::string &name) { return m_minters.at(name); }
@@ -103,7 +104,7 @@
     bool admit(const std::string &name, std::vector<std::string> &tried, std::int64_t now)
     {
         const auto &account = *m_snapshot->findAccount("acme");
-        const auto result = m_wallets.at(name).admit(account, tried, at(now));
+        const auto result = m_tokenCaches.at(name).admit(account, tried, at(now));
         if (result.ask) {
             m_requests.push_back(
                     {name, *result.ask,
@@ -118,7 +119,7 @@
     SnapshotPtr m_snapshot;
     std::vector<std::string> m_names;
     std::map<std::string, Minter> m_minters;
-    std::map<std::string, Wallet> m_wallets;
+    std::map<std::string, TokenCache> m_tokenCaches;
     std::deque<RequestMessage> m_requests;
     std::deque<GrantMessage> m_grants;
     std::vector<std::int64_t> m_admitted;
@@ -246,14 +247,14 @@
 TEST_CASE("an expired grant adds no tokens")
 {
     const auto snapshot = testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0});
-    Wallet wallet{"z0"};
-    wallet.onSnapshot(snapshot, at(0));
+    TokenCache tokenCache{"z0"};
+    tokenCache.onSnapshot(snapshot, at(0));
     std::vector<std::string> tried;
-    const auto result = wallet.admit(*snapshot->findAccount("acme"), tried, at(0));
+    const auto result = tokenCache.admit(*snapshot->findAccount("acme"), tried, at(0));
     REQUIRE(result.ask);
     const auto lifetime = grantLife(*snapshot->findAccount("acme"));
-    wallet.onGrant(result.ask->id, {result.ask->amount, 0, lifetime}, at(lifetime.count()));
-    REQUIRE(wallet.balance("acme", at(lifetime.count())) == 0);
+    tokenCache.onGrant(result.ask->id, {result.ask->amount, 0, lifetime}, at(lifetime.count()));
+    REQUIRE(tokenCache.balance("acme", at(lifetime.count())) == 0);
 }
 
 TEST_CASE("calls within the rate are almost never refused")
