--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -219,7 +219,7 @@
         }
         const auto way = delay(entry, ask.minter);
         schedule(m_now + way, [this, ask, entry, way, then = std::move(then)] {
-            const auto grant = m_minters.at(ask.minter).take(ask.account, ask.amount, at(m_now));
+            const auto grant = m_minters.at(ask.minter).grant(ask.account, ask.amount, at(m_now));
             schedule(m_now + way, [this, ask, entry, grant, then] {
                 m_wallets.at(entry).onGrant(ask.id, grant, at(m_now));
                 if (then) {
--- a/src/celeryramp/limits/minter.cpp
+++ b/src/celeryramp/limits/minter.cpp
@@ -38,7 +38,7 @@
     m_buckets = std::move(buckets);
 }
 
-Grant Minter::take(const std::string &account, MicroTokens wanted, TimePoint now)
+Grant Minter::grant(const std::string &account, MicroTokens wanted, TimePoint now)
 {
     const auto it = m_buckets.find(account);
     if (it == m_buckets.end()) {
--- a/src/celeryramp/limits/minter.h
+++ b/src/celeryramp/limits/minter.h
@@ -42,7 +42,7 @@
      * @return Granted amount and remaining level; both zero if this server is not a minter of the
      * account.
      */
-    [[nodiscard]] Grant take(const std::string &account, MicroTokens wanted, TimePoint now);
+    [[nodiscard]] Grant grant(const std::string &account, MicroTokens wanted, TimePoint now);
 
     /*!
      * @brief Empties all buckets and stops minting until `resume` is called.
--- a/src/celeryramp/node/ledger_duty.cpp
+++ b/src/celeryramp/node/ledger_duty.cpp
@@ -84,7 +84,7 @@
 {
     std::unique_lock lock{m_mutex};
     if (const auto *ask = std::get_if<TokenRequestMessage>(&message)) {
-        const auto grant = m_minter.take(ask->account, ask->microTokens, now);
+        const auto grant = m_minter.grant(ask->account, ask->microTokens, now);
         lock.unlock();
         m_grants.add();
         m_post.answer(link,
--- a/test/limits/rate_bound.cpp
+++ b/test/limits/rate_bound.cpp
@@ -54,7 +54,7 @@
             m_requests.erase(m_requests.begin() + std::ptrdiff_t(i));
             for (int n = lose ? 0 : (duplicate ? 2 : 1); n > 0; --n) {
                 const auto grant = m_minters.at(request.ask.minter)
-                                           .take(request.ask.account, request.ask.amount, at(now));
+                                           .grant(request.ask.account, request.ask.amount, at(now));
                 m_grants.push_back({request.from, request.ask.id, grant, request.tried});
             }
         } else if (!m_grants.empty()) {
@@ -216,21 +216,21 @@
     minter.onSnapshot(before, at(0));
     minter.onSnapshot(more, at(0));
     const auto all = 10'000 * kMicroTokensPerCall;
-    static_cast<void>(minter.take("acme", all, at(0)));
-    REQUIRE(minter.take("acme", all, at(1000)).granted <= 100 * kMicroTokensPerCall);
+    static_cast<void>(minter.grant("acme", all, at(0)));
+    REQUIRE(minter.grant("acme", all, at(1000)).granted <= 100 * kMicroTokensPerCall);
     const auto later = kShareGrowthDelay.count();
-    static_cast<void>(minter.take("acme", all, at(later)));
-    REQUIRE(minter.take("acme", all, at(later + 400)).granted > 300 * kMicroTokensPerCall);
+    static_cast<void>(minter.grant("acme", all, at(later)));
+    REQUIRE(minter.grant("acme", all, at(later + 400)).granted > 300 * kMicroTokensPerCall);
     minter.onSnapshot(less, at(later + 400));
-    REQUIRE(minter.take("acme", all, at(later + 1400)).granted <= 10 * kMicroTokensPerCall);
+    REQUIRE(minter.grant("acme", all, at(later + 1400)).granted <= 10 * kMicroTokensPerCall);
 }
 
 TEST_CASE("the buckets of a new incarnation start empty")
 {
     Minter minter{"s-z0-0"};
     minter.onSnapshot(testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0}), at(0));
-    REQUIRE(minter.take("acme", kMicroTokensPerCall, at(0)).granted == 0);
-    REQUIRE(minter.take("other", kMicroTokensPerCall, at(1000)).granted == 0);
+    REQUIRE(minter.grant("acme", kMicroTokensPerCall, at(0)).granted == 0);
+    REQUIRE(minter.grant("other", kMicroTokensPerCall, at(1000)).granted == 0);
 }
 
 TEST_CASE("a suspended minter grants nothing until it resumes")
@@ -238,10 +238,10 @@
     Minter minter{"s-z0-0"};
     minter.onSnapshot(testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0}), at(0));
     minter.suspend(at(500));
-    REQUIRE(minter.take("acme", kMicroTokensPerCall, at(2000)).granted == 0);
+    REQUIRE(minter.grant("acme", kMicroTokensPerCall, at(2000)).granted == 0);
     minter.resume(at(2000));
-    REQUIRE(minter.take("acme", kMicroTokensPerCall, at(2000)).granted == 0);
-    REQUIRE(minter.take("acme", kMicroTokensPerCall, at(2100)).granted == kMicroTokensPerCall);
+    REQUIRE(minter.grant("acme", kMicroTokensPerCall, at(2000)).granted == 0);
+    REQUIRE(minter.grant("acme", kMicroTokensPerCall, at(2100)).granted == kMicroTokensPerCall);
 }
 
 TEST_CASE("an expired grant adds no tokens")
