--- a/src/celeryramp/limits/account_share.cpp
+++ b/src/celeryramp/limits/account_share.cpp
@@ -47,7 +47,7 @@
     return names;
 }
 
-Millis grantLife(const ClientAccount &account)
+Millis grantLifetime(const ClientAccount &account)
 {
     const auto refillSeconds = account.burst / account.rate;
     const auto seconds = std::min(internal::kMaxGrantLifetimeSeconds, refillSeconds / 4.0);
@@ -69,9 +69,9 @@
     const auto divisor = static_cast<double>(mintingZones(snapshot).size() * minters.size());
     AccountShare share;
     share.ratePerSecond = account.rate * double(kMicroTokensPerCall) / divisor;
-    share.grantLife = grantLife(account);
+    share.grantLifetime = grantLifetime(account);
     const auto burst = account.burst * double(kMicroTokensPerCall) / divisor;
-    const auto lifetimeSeconds = std::chrono::duration<double>(share.grantLife).count();
+    const auto lifetimeSeconds = std::chrono::duration<double>(share.grantLifetime).count();
     share.capacity = std::max<MicroTokens>(
             0, static_cast<MicroTokens>(std::floor(burst - share.ratePerSecond * lifetimeSeconds)));
     return share;
--- a/src/celeryramp/limits/account_share.h
+++ b/src/celeryramp/limits/account_share.h
@@ -14,15 +14,16 @@
  * @brief Share of an account's rate and burst that one minter may grant.
  *
  * An account with rate r and burst b is served by n minters. Each one adds r/n tokens per second to
- * a bucket of capacity c, and a grant expires after `grantLife`. With
- * `c = (r/n) * (b/r - grantLife)`, the tokens spent in any window W sum up to at most r * W + b,
- * even if messages are lost or delayed or the network is partitioned.
+ * a bucket of capacity c, and a grant expires after `grantLifetime`. With
+ * `c = (r/n) * (b/r - grantLifetime)`, the tokens spent in any window W sum up to at most r * W +
+ * b, even if messages are lost or delayed or the network is partitioned.
  */
 struct AccountShare
 {
     double ratePerSecond = 0.0; /*!< Micro-tokens minted per second. */
     MicroTokens capacity = 0; /*!< Maximum level of the bucket. */
-    Millis grantLife{0}; /*!< Lifetime of a grant, starting when the requester sends its request. */
+    Millis grantLifetime{
+            0}; /*!< Lifetime of a grant, starting when the requester sends its request. */
 };
 
 /*!
@@ -42,7 +43,7 @@
  * @return Lifetime of a grant of this account: a quarter of the time in which the rate refills the
  * burst, but between 1 ms and 200 ms.
  */
-[[nodiscard]] Millis grantLife(const ClientAccount &account);
+[[nodiscard]] Millis grantLifetime(const ClientAccount &account);
 
 /*! @return Share of a server in an account; all zero if the server is not one of its minters. */
 [[nodiscard]] AccountShare shareOf(const Snapshot &snapshot, const ClientAccount &account,
--- a/src/celeryramp/limits/grant.h
+++ b/src/celeryramp/limits/grant.h
@@ -10,7 +10,7 @@
 {
     MicroTokens granted = 0;
     MicroTokens left = 0; /*!< Level of the minter's bucket after the grant. */
-    Millis life{0}; /*!< Lifetime, starting when the requester sends its request. */
+    Millis lifetime{0}; /*!< Lifetime, starting when the requester sends its request. */
 };
 
 } // namespace celeryramp
--- a/src/celeryramp/limits/minter.cpp
+++ b/src/celeryramp/limits/minter.cpp
@@ -10,7 +10,7 @@
 [[nodiscard]] AccountShare minShare(const AccountShare &a, const AccountShare &b)
 {
     return {std::min(a.ratePerSecond, b.ratePerSecond), std::min(a.capacity, b.capacity),
-            std::min(a.grantLife, b.grantLife)};
+            std::min(a.grantLifetime, b.grantLifetime)};
 }
 
 } // namespace internal
@@ -51,7 +51,7 @@
     const auto granted
             = available - available % kMicroTokensPerCall; // A fraction of a call expires unused.
     bucket.level -= double(granted);
-    return {granted, level - granted, bucket.share.grantLife};
+    return {granted, level - granted, bucket.share.grantLifetime};
 }
 
 void Minter::suspend(TimePoint now)
--- a/src/celeryramp/limits/token_cache.cpp
+++ b/src/celeryramp/limits/token_cache.cpp
@@ -87,7 +87,7 @@
             minter.blockedUntil = now;
         }
     }
-    const auto expiresAt = pending.requestedAt + std::min(pending.life, grant.life);
+    const auto expiresAt = pending.requestedAt + std::min(pending.lifetime, grant.lifetime);
     if (grant.granted <= 0 || expiresAt <= now) {
         return;
     }
@@ -234,7 +234,7 @@
     TokenAsk request{++m_lastId, minter.name, account.name, amount};
     minter.level = std::max(0.0, minter.level - double(amount));
     ++entry.requestsInFlight;
-    m_pending.emplace(request.id, PendingRequest{request, now, grantLife(account)});
+    m_pending.emplace(request.id, PendingRequest{request, now, grantLifetime(account)});
     return request;
 }
 
--- a/src/celeryramp/limits/token_cache.h
+++ b/src/celeryramp/limits/token_cache.h
@@ -112,7 +112,7 @@
     {
         TokenAsk request;
         TimePoint requestedAt;
-        Millis life{0};
+        Millis lifetime{0};
     };
 
     [[nodiscard]] AccountEntry &entryOf(const ClientAccount &account, TimePoint now);
--- a/src/celeryramp/node/ledger_duty.cpp
+++ b/src/celeryramp/node/ledger_duty.cpp
@@ -90,7 +90,7 @@
         m_post.answer(link,
                       TokenGrantMessage{ask->id, ask->account, m_settings.server, grant.granted,
                                         grant.left,
-                                        static_cast<std::uint32_t>(grant.life.count())});
+                                        static_cast<std::uint32_t>(grant.lifetime.count())});
     } else if (const auto *reserve = std::get_if<ReserveMessage>(&message)) {
         auto vote = m_home.onReserve(*reserve, now);
         lock.unlock();
--- a/test/limits/rate_bound.cpp
+++ b/test/limits/rate_bound.cpp
@@ -155,7 +155,7 @@
         double bound = 0.0;
         for (const auto &[name, server] : snapshot->model().servers) {
             const auto share = shareOf(*snapshot, account, name);
-            const auto lifetime = std::chrono::duration<double>(share.grantLife).count();
+            const auto lifetime = std::chrono::duration<double>(share.grantLifetime).count();
             rate += share.ratePerSecond / double(kMicroTokensPerCall);
             bound += (double(share.capacity) + share.ratePerSecond * lifetime)
                     / double(kMicroTokensPerCall);
@@ -252,7 +252,7 @@
     std::vector<std::string> tried;
     const auto result = tokenCache.admit(*snapshot->findAccount("acme"), tried, at(0));
     REQUIRE(result.ask);
-    const auto lifetime = grantLife(*snapshot->findAccount("acme"));
+    const auto lifetime = grantLifetime(*snapshot->findAccount("acme"));
     tokenCache.onGrant(result.ask->id, {result.ask->amount, 0, lifetime}, at(lifetime.count()));
     REQUIRE(tokenCache.balance("acme", at(lifetime.count())) == 0);
 }
