--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -136,8 +136,8 @@
         tried.clear();
         now += Micros{1};
         auto result = wallet.admit(account, tried, now);
-        if (result.ask) {
-            wallet.onGrant(result.ask->id, {result.ask->amount, 0, Millis{500}}, now);
+        if (result.request) {
+            wallet.onGrant(result.request->id, {result.request->amount, 0, Millis{500}}, now);
         }
     }
 }
--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -185,9 +185,9 @@
         const auto &found = *m_snapshot->findAccount(account);
         auto &wallet = m_wallets.at(entry);
         const auto result = wallet.admit(found, tried, at(m_now));
-        if (result.ask) {
+        if (result.request) {
             ask(
-                    *result.ask, entry,
+                    *result.request, entry,
                     result.admission != Admission::Wait
                             ? std::function<void()>{}
                             : [this, account, entry, tried, fits, until] {
@@ -203,7 +203,7 @@
         }
     }
 
-    void ask(const TokenAsk &ask, const std::string &entry, std::function<void()> then)
+    void ask(const TokenRequest &ask, const std::string &entry, std::function<void()> then)
     {
         ++m_counts.messages;
         const auto seconds = double(m_now) / 1e6;
--- a/src/celeryramp/limits/token_cache.cpp
+++ b/src/celeryramp/limits/token_cache.cpp
@@ -54,7 +54,7 @@
             && entry.requestsInFlight == 0) {
             if (auto *minter = chooseMinter(entry, {}, now);
                 minter != nullptr && minter->level >= double(kMicroTokensPerCall)) {
-                result.ask = requestTokens(entry, account, *minter, false, now);
+                result.request = requestTokens(entry, account, *minter, false, now);
             }
         }
         return result;
@@ -222,8 +222,8 @@
     return isRefused ? nullptr : best;
 }
 
-TokenAsk TokenCache::requestTokens(AccountEntry &entry, const ClientAccount &account,
-                                   MinterEstimate &minter, bool isWaiting, TimePoint now)
+TokenRequest TokenCache::requestTokens(AccountEntry &entry, const ClientAccount &account,
+                                       MinterEstimate &minter, bool isWaiting, TimePoint now)
 {
     const auto price = double(kMicroTokensPerCall);
     const auto prefetchAmount = std::min(entry.demandPerSecond * internal::kPrefetchSeconds * price,
@@ -231,7 +231,7 @@
     const auto prefetchCalls = std::floor(std::max(0.0, prefetchAmount) / price);
     const auto calls = std::max(1.0, prefetchCalls + (isWaiting ? 1.0 : 0.0));
     const auto amount = static_cast<MicroTokens>(calls * price);
-    TokenAsk request{++m_lastId, minter.name, account.name, amount};
+    TokenRequest request{++m_lastId, minter.name, account.name, amount};
     minter.level = std::max(0.0, minter.level - double(amount));
     ++entry.requestsInFlight;
     m_pending.emplace(request.id, PendingRequest{request, now, grantLifetime(account)});
--- a/src/celeryramp/limits/token_cache.h
+++ b/src/celeryramp/limits/token_cache.h
@@ -15,7 +15,7 @@
 namespace celeryramp {
 
 /*! @brief Request for tokens, to be sent to a minter. */
-struct TokenAsk
+struct TokenRequest
 {
     std::uint64_t id = 0;
     std::string minter;
@@ -34,7 +34,7 @@
 struct AdmissionResult
 {
     Admission admission = Admission::Refused;
-    std::optional<TokenAsk> ask;
+    std::optional<TokenRequest> request;
 };
 
 /*!
@@ -110,7 +110,7 @@
     };
     struct PendingRequest
     {
-        TokenAsk request;
+        TokenRequest request;
         TimePoint requestedAt;
         Millis lifetime{0};
     };
@@ -124,8 +124,8 @@
     [[nodiscard]] MinterEstimate *chooseMinter(AccountEntry &entry,
                                                const std::vector<std::string> &triedMinters,
                                                TimePoint now) const;
-    [[nodiscard]] TokenAsk requestTokens(AccountEntry &entry, const ClientAccount &account,
-                                         MinterEstimate &minter, bool isWaiting, TimePoint now);
+    [[nodiscard]] TokenRequest requestTokens(AccountEntry &entry, const ClientAccount &account,
+                                             MinterEstimate &minter, bool isWaiting, TimePoint now);
     void expireRequests(TimePoint now);
 
     std::string m_zone;
--- a/src/celeryramp/node/accounts_desk.cpp
+++ b/src/celeryramp/node/accounts_desk.cpp
@@ -27,14 +27,14 @@
         const auto result = m_wallet.admit(account, tried, Clock::now());
         const auto seen = m_grants;
         lock.unlock();
-        if (result.ask) {
-            sendAsk(*result.ask);
+        if (result.request) {
+            sendAsk(*result.request);
         }
         if (result.admission != Admission::Wait) {
             return result.admission == Admission::Admitted;
         }
         lock.lock();
-        const auto id = result.ask ? result.ask->id : 0;
+        const auto id = result.request ? result.request->id : 0;
         const auto isDecided = [&] { return m_grants != seen && !m_wallet.isPending(id); };
         if (!m_changed.wait_until(lock, until, isDecided)) {
             return m_wallet.admit(account, tried, Clock::now()).admission == Admission::Admitted;
@@ -64,7 +64,7 @@
     m_changed.notify_all();
 }
 
-void AccountsDesk::sendAsk(const TokenAsk &ask)
+void AccountsDesk::sendAsk(const TokenRequest &ask)
 {
     const auto link = m_post.post(ask.minter, TokenRequestMessage{ask.id, ask.account, ask.amount},
                                   tokenFor(TokenKind::TokenAsk, ask.id));
--- a/src/celeryramp/node/accounts_desk.h
+++ b/src/celeryramp/node/accounts_desk.h
@@ -33,7 +33,7 @@
     void onUnsent(std::uint64_t id, TimePoint now);
 
 private:
-    void sendAsk(const TokenAsk &ask);
+    void sendAsk(const TokenRequest &ask);
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
--- a/test/limits/rate_bound.cpp
+++ b/test/limits/rate_bound.cpp
@@ -53,9 +53,10 @@
             const auto request = m_requests[i];
             m_requests.erase(m_requests.begin() + std::ptrdiff_t(i));
             for (int n = lose ? 0 : (duplicate ? 2 : 1); n > 0; --n) {
-                const auto grant = m_minters.at(request.ask.minter)
-                                           .grant(request.ask.account, request.ask.amount, at(now));
-                m_grants.push_back({request.from, request.ask.id, grant, request.tried});
+                const auto grant = m_minters.at(request.tokenRequest.minter)
+                                           .grant(request.tokenRequest.account,
+                                                  request.tokenRequest.amount, at(now));
+                m_grants.push_back({request.from, request.tokenRequest.id, grant, request.tried});
             }
         } else if (!m_grants.empty()) {
             const auto i = index % m_grants.size();
@@ -90,7 +91,7 @@
     struct RequestMessage
     {
         std::string from;
-        TokenAsk ask;
+        TokenRequest tokenRequest;
         std::vector<std::string> tried;
     };
     struct GrantMessage
@@ -105,9 +106,9 @@
     {
         const auto &account = *m_snapshot->findAccount("acme");
         const auto result = m_tokenCaches.at(name).admit(account, tried, at(now));
-        if (result.ask) {
+        if (result.request) {
             m_requests.push_back(
-                    {name, *result.ask,
+                    {name, *result.request,
                      result.admission == Admission::Wait ? tried : std::vector<std::string>{}});
         }
         if (result.admission == Admission::Admitted) {
@@ -251,9 +252,10 @@
     tokenCache.onSnapshot(snapshot, at(0));
     std::vector<std::string> tried;
     const auto result = tokenCache.admit(*snapshot->findAccount("acme"), tried, at(0));
-    REQUIRE(result.ask);
+    REQUIRE(result.request);
     const auto lifetime = grantLifetime(*snapshot->findAccount("acme"));
-    tokenCache.onGrant(result.ask->id, {result.ask->amount, 0, lifetime}, at(lifetime.count()));
+    tokenCache.onGrant(result.request->id, {result.request->amount, 0, lifetime},
+                       at(lifetime.count()));
     REQUIRE(tokenCache.balance("acme", at(lifetime.count())) == 0);
 }
 
