--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -160,7 +160,7 @@
     const auto snapshot = snapshotOf(1400, 8);
     Gate gate{"server-0", 12, 256};
     const std::set<std::string> quarantined;
-    const GateSurroundings around{snapshot.get(), false, &quarantined, 0};
+    const GateInputs around{snapshot.get(), false, &quarantined, 0};
     const auto now = Clock::now();
     QueuedCall call;
     call.call.service = "service-0";
--- a/src/celeryramp/gate/gate.cpp
+++ b/src/celeryramp/gate/gate.cpp
@@ -16,12 +16,12 @@
       m_nested{queueCapacity, mechanisms.fairness}, m_outside{queueCapacity, mechanisms.fairness}
 { }
 
-std::vector<Refusal> Gate::offer(QueuedCall call, const GateSurroundings &around, TimePoint now)
+std::vector<Refusal> Gate::offer(QueuedCall call, const GateInputs &inputs, TimePoint now)
 {
     std::vector<Refusal> refusals;
     ++m_counters.offered;
-    auto reason = m_draining ? Reason::Draining : refusalReason(call, around, now);
-    const auto activeCalls = m_running - around.waiting;
+    auto reason = m_draining ? Reason::Draining : refusalReason(call, inputs, now);
+    const auto activeCalls = m_running - inputs.waiting;
     const bool isBusy = !canMeetDeadline(call, now) || mustTryOtherGate(call, activeCalls)
             || wouldDeadlock(call, activeCalls);
     if (reason == Reason::None && isBusy) {
@@ -36,7 +36,7 @@
     return refusals;
 }
 
-std::optional<QueuedCall> Gate::next(const GateSurroundings &around, TimePoint now,
+std::optional<QueuedCall> Gate::next(const GateInputs &inputs, TimePoint now,
                                      std::vector<Refusal> &refusals)
 {
     for (auto *queue : {&m_nested, &m_outside}) {
@@ -45,13 +45,13 @@
             ++m_counters.refused;
         }
     }
-    const auto activeCalls = m_running - around.waiting;
+    const auto activeCalls = m_running - inputs.waiting;
     while (m_running < m_slots && activeCalls < m_ramp.limit()) {
         auto call = popNext(activeCalls);
         if (!call) {
             return std::nullopt;
         }
-        const auto reason = refusalReason(*call, around, now);
+        const auto reason = refusalReason(*call, inputs, now);
         if (reason == Reason::None) {
             ++m_running;
             ++m_counters.started;
@@ -90,31 +90,30 @@
             static_cast<std::uint32_t>(m_ramp.limit())};
 }
 
-Reason Gate::refusalReason(const QueuedCall &call, const GateSurroundings &around,
-                           TimePoint now) const
+Reason Gate::refusalReason(const QueuedCall &call, const GateInputs &inputs, TimePoint now) const
 {
-    if (around.snapshot == nullptr) {
+    if (inputs.snapshot == nullptr) {
         return Reason::NotReady;
     }
     if (call.deadline <= now) {
         return Reason::TooLate;
     }
-    if (around.leaving && m_mechanisms.leaving) {
+    if (inputs.leaving && m_mechanisms.leaving) {
         return Reason::Draining;
     }
-    const auto *server = around.snapshot->findServer(m_server);
+    const auto *server = inputs.snapshot->findServer(m_server);
     if (server == nullptr || server->service != call.call.service) {
         return Reason::NoServer;
     }
-    if (m_mechanisms.zones && !around.snapshot->isZoneInService(server->zone)) {
+    if (m_mechanisms.zones && !inputs.snapshot->isZoneInService(server->zone)) {
         return Reason::ZoneOutOfService;
     }
     if (m_mechanisms.keys && !call.call.keyId.empty()
-        && !around.snapshot->isKeyGranted(call.call.keyId, call.call.account)) {
+        && !inputs.snapshot->isKeyGranted(call.call.keyId, call.call.account)) {
         return Reason::BadKey;
     }
-    if (m_mechanisms.quarantine && around.quarantined != nullptr
-        && around.quarantined->count(call.call.digest) > 0) {
+    if (m_mechanisms.quarantine && inputs.quarantined != nullptr
+        && inputs.quarantined->count(call.call.digest) > 0) {
         return Reason::Quarantined;
     }
     return Reason::None;
--- a/src/celeryramp/gate/gate.h
+++ b/src/celeryramp/gate/gate.h
@@ -35,7 +35,7 @@
 };
 
 /*! @brief State outside the gate that each of its decisions depends on. */
-struct GateSurroundings
+struct GateInputs
 {
     const Snapshot *snapshot = nullptr; /*!< Null before the first configuration. */
     bool leaving = false; /*!< The platform lists the server as leaving. */
@@ -73,17 +73,17 @@
      * @brief Queues a call that arrived, or refuses it.
      * @return Refused calls: the new one or one that it evicted from the queue.
      */
-    [[nodiscard]] std::vector<Refusal> offer(QueuedCall call, const GateSurroundings &around,
+    [[nodiscard]] std::vector<Refusal> offer(QueuedCall call, const GateInputs &inputs,
                                              TimePoint now);
 
     /*!
      * @brief Removes the next call to run from the queue.
-     * @param around Current state outside the gate.
+     * @param inputs Current state outside the gate.
      * @param now Current time.
      * @param refusals Receives the queued calls that are refused in the process.
      * @return The call to run; nothing if none may run now.
      */
-    [[nodiscard]] std::optional<QueuedCall> next(const GateSurroundings &around, TimePoint now,
+    [[nodiscard]] std::optional<QueuedCall> next(const GateInputs &inputs, TimePoint now,
                                                  std::vector<Refusal> &refusals);
 
     /*!
@@ -113,7 +113,7 @@
 
 private:
     /*! @return Reason why the call may not run now, or `None`. */
-    [[nodiscard]] Reason refusalReason(const QueuedCall &call, const GateSurroundings &around,
+    [[nodiscard]] Reason refusalReason(const QueuedCall &call, const GateInputs &inputs,
                                        TimePoint now) const;
     [[nodiscard]] std::size_t waiting() const noexcept
     {
--- a/src/celeryramp/node/gate_duty.cpp
+++ b/src/celeryramp/node/gate_duty.cpp
@@ -269,8 +269,7 @@
     m_onCrash(std::move(rumours));
 }
 
-GateSurroundings GateDuty::surroundings(const SnapshotPtr &snapshot,
-                                        const FleetViewPtr &fleet) const
+GateInputs GateDuty::surroundings(const SnapshotPtr &snapshot, const FleetViewPtr &fleet) const
 {
     return {snapshot.get(), fleet->selfLeaving || fleet->superseded, &fleet->quarantined,
             m_contexts.waiting()};
--- a/src/celeryramp/node/gate_duty.h
+++ b/src/celeryramp/node/gate_duty.h
@@ -63,8 +63,8 @@
                                              Micros latency);
     void refuse(const std::vector<Refusal> &refusals);
     void reportCrash(const std::string &digest);
-    [[nodiscard]] GateSurroundings surroundings(const SnapshotPtr &snapshot,
-                                                const FleetViewPtr &fleet) const;
+    [[nodiscard]] GateInputs surroundings(const SnapshotPtr &snapshot,
+                                          const FleetViewPtr &fleet) const;
 
     const NodeSettings &m_settings;
     const Cell<Snapshot> &m_snapshot;
--- a/test/gate/gate.cpp
+++ b/test/gate/gate.cpp
@@ -33,14 +33,14 @@
     std::vector<Refusal> refusals;
     int waiting = 0;
 
-    GateSurroundings around(bool leaving = false)
+    GateInputs inputs(bool leaving = false)
     {
         return {snapshot.get(), leaving, &quarantined, waiting};
     }
 
     std::optional<QueuedCall> next(std::int64_t now)
     {
-        return gate.next(around(), at(now), refusals);
+        return gate.next(inputs(), at(now), refusals);
     }
 };
 
@@ -50,7 +50,7 @@
 {
     Fixture fixture;
     for (std::uint64_t i = 1; i <= 6; ++i) {
-        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.inputs(), at(0)).empty());
     }
     REQUIRE(fixture.next(0));
     REQUIRE(fixture.next(0));
@@ -63,45 +63,45 @@
     Fixture fixture;
     SECTION("before the first configuration")
     {
-        const GateSurroundings none{nullptr, false, &fixture.quarantined, 0};
+        const GateInputs none{nullptr, false, &fixture.quarantined, 0};
         REQUIRE(fixture.gate.offer(callOf(1, "a", 0), none, at(0)).front().reason
                 == Reason::NotReady);
     }
     SECTION("leaving")
     {
-        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(true), at(0)).front().reason
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.inputs(true), at(0)).front().reason
                 == Reason::Draining);
     }
     SECTION("draining")
     {
         fixture.gate.drain();
-        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(), at(0)).front().reason
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.inputs(), at(0)).front().reason
                 == Reason::Draining);
     }
     SECTION("another service")
     {
         auto call = callOf(1, "a", 0);
         call.call.service = "orders";
-        REQUIRE(fixture.gate.offer(call, fixture.around(), at(0)).front().reason
+        REQUIRE(fixture.gate.offer(call, fixture.inputs(), at(0)).front().reason
                 == Reason::NoServer);
     }
     SECTION("a key that is not granted")
     {
         auto call = callOf(1, "acme", 0);
         call.call.keyId = "k9";
-        REQUIRE(fixture.gate.offer(call, fixture.around(), at(0)).front().reason == Reason::BadKey);
+        REQUIRE(fixture.gate.offer(call, fixture.inputs(), at(0)).front().reason == Reason::BadKey);
         call.call.keyId = "k1";
-        REQUIRE(fixture.gate.offer(call, fixture.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(call, fixture.inputs(), at(0)).empty());
     }
     SECTION("quarantined")
     {
         fixture.quarantined.insert("d1");
-        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(), at(0)).front().reason
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.inputs(), at(0)).front().reason
                 == Reason::Quarantined);
     }
     SECTION("too late")
     {
-        REQUIRE(fixture.gate.offer(callOf(1, "a", 0, 0), fixture.around(), at(0)).front().reason
+        REQUIRE(fixture.gate.offer(callOf(1, "a", 0, 0), fixture.inputs(), at(0)).front().reason
                 == Reason::TooLate);
     }
 }
@@ -114,12 +114,12 @@
     {
         auto call = callOf(1, "acme", 0);
         call.call.keyId = "k1";
-        REQUIRE(fixture.gate.offer(call, fixture.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(call, fixture.inputs(), at(0)).empty());
         parts["keys"] = R"({"keys":{}})";
     }
     SECTION("the zone went out of service")
     {
-        REQUIRE(fixture.gate.offer(callOf(1, "acme", 0), fixture.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(callOf(1, "acme", 0), fixture.inputs(), at(0)).empty());
         auto &zones = parts["zones"];
         zones.replace(zones.find("\"in\""), 4, "\"out\"");
     }
@@ -131,8 +131,8 @@
 TEST_CASE("overdue and cancelled calls do not run")
 {
     Fixture fixture;
-    REQUIRE(fixture.gate.offer(callOf(1, "a", 0, 10), fixture.around(), at(0)).empty());
-    REQUIRE(fixture.gate.offer(callOf(2, "a", 0), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(1, "a", 0, 10), fixture.inputs(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(2, "a", 0), fixture.inputs(), at(0)).empty());
     REQUIRE(fixture.gate.cancel(2, 0));
     REQUIRE_FALSE(fixture.gate.cancel(2, 0));
     REQUIRE_FALSE(fixture.next(20));
@@ -144,7 +144,7 @@
 TEST_CASE("a running call can no longer be cancelled")
 {
     Fixture fixture;
-    REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.inputs(), at(0)).empty());
     const auto call = fixture.next(0);
     REQUIRE(call);
     REQUIRE_FALSE(fixture.gate.cancel(1, 0));
@@ -157,21 +157,21 @@
     Fixture fixture;
     auto unqueued = callOf(1, "a", 0);
     unqueued.call.mayQueue = false;
-    REQUIRE(fixture.gate.offer(unqueued, fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(unqueued, fixture.inputs(), at(0)).empty());
     REQUIRE(fixture.next(0));
-    REQUIRE(fixture.gate.offer(callOf(2, "a", 0), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(2, "a", 0), fixture.inputs(), at(0)).empty());
     unqueued.call.id = 3;
-    const auto refused = fixture.gate.offer(unqueued, fixture.around(), at(0));
+    const auto refused = fixture.gate.offer(unqueued, fixture.inputs(), at(0));
     REQUIRE(refused.size() == 1);
     REQUIRE(refused.front().reason == Reason::Busy);
-    REQUIRE(fixture.gate.offer(callOf(4, "a", 0), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(4, "a", 0), fixture.inputs(), at(0)).empty());
 }
 
 TEST_CASE("nested calls run before outside calls")
 {
     Fixture fixture;
-    REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.around(), at(0)).empty());
-    REQUIRE(fixture.gate.offer(callOf(2, "a", 0, 1000, 3), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(1, "a", 0), fixture.inputs(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(2, "a", 0, 1000, 3), fixture.inputs(), at(0)).empty());
     REQUIRE(fixture.next(0)->call.id == 2);
 }
 
@@ -179,7 +179,7 @@
 {
     Fixture fixture;
     for (std::uint64_t i = 1; i <= 6; ++i) {
-        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.inputs(), at(0)).empty());
     }
     REQUIRE(fixture.next(0));
     REQUIRE(fixture.next(0));
@@ -195,15 +195,15 @@
 {
     Fixture fixture;
     for (std::uint64_t i = 1; i <= 4; ++i) {
-        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.around(), at(0)).empty());
+        REQUIRE(fixture.gate.offer(callOf(i, "a", 0), fixture.inputs(), at(0)).empty());
         REQUIRE(fixture.next(0));
         fixture.waiting = static_cast<int>(i);
     }
-    const auto refused = fixture.gate.offer(callOf(9, "a", 0, 1000, 5), fixture.around(), at(0));
+    const auto refused = fixture.gate.offer(callOf(9, "a", 0, 1000, 5), fixture.inputs(), at(0));
     REQUIRE(refused.size() == 1);
     REQUIRE(refused.front().reason == Reason::Busy);
     fixture.waiting = 3;
-    REQUIRE(fixture.gate.offer(callOf(10, "a", 0, 1000, 5), fixture.around(), at(0)).empty());
+    REQUIRE(fixture.gate.offer(callOf(10, "a", 0, 1000, 5), fixture.inputs(), at(0)).empty());
 }
 
 TEST_CASE("every call offered is run or refused exactly once")
@@ -225,7 +225,7 @@
             if (step < 50) {
                 countRefusals(fixture.gate.offer(
                         callOf(++offered, std::to_string(step % 4), now, step * 3),
-                        fixture.around(), at(now)));
+                        fixture.inputs(), at(now)));
             } else if (step < 75) {
                 fixture.refusals.clear();
                 if (auto call = fixture.next(now)) {
