--- a/src/celeryramp/gate/context_table.cpp
+++ b/src/celeryramp/gate/context_table.cpp
@@ -29,7 +29,7 @@
 {
     const std::lock_guard lock{m_mutex};
     if (const auto it = m_contexts.find(token); it != m_contexts.end()) {
-        it->second.summary.failedBelow = true;
+        it->second.summary.nestedCallFailed = true;
     }
 }
 
--- a/src/celeryramp/gate/context_table.h
+++ b/src/celeryramp/gate/context_table.h
@@ -12,7 +12,7 @@
 /*! @brief Summary of the nested calls that were made within a context. */
 struct ContextSummary
 {
-    bool failedBelow
+    bool nestedCallFailed
             = false; /*!< A nested call failed and the mesh has already handled the failure. */
     Micros nested{0}; /*!< Sum of the durations of nested calls, also of overlapping ones. */
 };
--- a/src/celeryramp/node/gate_duty.cpp
+++ b/src/celeryramp/node/gate_duty.cpp
@@ -185,7 +185,7 @@
     // Time that the server waited for its own calls says nothing about the server itself.
     const auto whole = std::chrono::duration_cast<Micros>(end - start);
     const auto latency = std::max(Micros{0}, whole - within.nested);
-    if (within.failedBelow && reply.status >= internal::kHttpServerError) {
+    if (within.nestedCallFailed && reply.status >= internal::kHttpServerError) {
         reply.headers.emplace_back(kRetriedHeader, "1");
     }
     if (reply.end == BackendEnd::TimedOut) {
--- a/test/gate/context_table.cpp
+++ b/test/gate/context_table.cpp
@@ -24,7 +24,7 @@
     table.endNested("unknown", Micros{5});
     table.beginNested(token);
     const auto summary = table.close(token);
-    REQUIRE(summary.failedBelow);
+    REQUIRE(summary.nestedCallFailed);
     REQUIRE(summary.nested == Micros{10});
     REQUIRE_FALSE(table.find(token));
     REQUIRE(table.size() == 0);
