--- a/src/celeryramp/gate/crash_watch.cpp
+++ b/src/celeryramp/gate/crash_tracker.cpp
@@ -1,4 +1,4 @@
-#include "gate/crash_watch.h"
+#include "gate/crash_tracker.h"
 
 namespace celeryramp {
 
@@ -25,7 +25,7 @@
 
 } // namespace internal
 
-void CrashWatch::onAnswered(const std::string &digest)
+void CrashTracker::onAnswered(const std::string &digest)
 {
     if (!m_answeredDigests.insert(digest).second) {
         return;
@@ -37,8 +37,8 @@
     }
 }
 
-std::vector<Rumour> CrashWatch::onCrash(const std::vector<std::string> &digests,
-                                        std::uint64_t sequence) const
+std::vector<Rumour> CrashTracker::onCrash(const std::vector<std::string> &digests,
+                                          std::uint64_t sequence) const
 {
     std::vector<Rumour> rumours;
     for (const auto &digest : digests) {
--- a/src/celeryramp/gate/crash_watch.h
+++ b/src/celeryramp/gate/crash_tracker.h
@@ -22,11 +22,11 @@
  * digest that this server has answered before is not reported, so that common requests are not
  * quarantined when servers crash for other reasons.
  */
-class CrashWatch
+class CrashTracker
 {
 public:
     /*! @param server Name of the server beside this node. */
-    explicit CrashWatch(std::string server) : m_server{std::move(server)} { }
+    explicit CrashTracker(std::string server) : m_server{std::move(server)} { }
 
     /*! @brief Records that a request was answered, so it is not suspected in later crashes. */
     void onAnswered(const std::string &digest);
--- a/src/celeryramp/gate/fwd.h
+++ b/src/celeryramp/gate/fwd.h
@@ -9,7 +9,7 @@
 
 class ConcurrencyRamp;
 class ContextTable;
-class CrashWatch;
+class CrashTracker;
 class FairQueue;
 class Gate;
 class LedgerHome;
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_duty.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "gate/crash_watch.h"
+#include "gate/crash_tracker.h"
 #include "observe/log.h"
 
 namespace celeryramp {
--- a/src/celeryramp/node/gate_duty.h
+++ b/src/celeryramp/node/gate_duty.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "gate/context_table.h"
-#include "gate/crash_watch.h"
+#include "gate/crash_tracker.h"
 #include "gate/gate.h"
 #include "node/cell.h"
 #include "node/fleet_view.h"
@@ -79,7 +79,7 @@
     mutable std::mutex m_mutex;
     std::condition_variable m_ready;
     Gate m_gate;
-    CrashWatch m_crashWatch;
+    CrashTracker m_crashWatch;
     std::vector<std::thread> m_threads;
     bool m_stopping = false;
 };
--- a/test/gate/crash_watch.cpp
+++ b/test/gate/crash_tracker.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "gate/crash_watch.h"
+#include "gate/crash_tracker.h"
 #include "support/sample_config.h"
 
 using namespace celeryramp;
@@ -20,10 +20,10 @@
 TEST_CASE("a request in flight on one crashed server is suspect and on two it is quarantined")
 {
     RumourStore store;
-    applyAll(store, CrashWatch{"s1"}.onCrash({"poison", "bystander"}, 1));
+    applyAll(store, CrashTracker{"s1"}.onCrash({"poison", "bystander"}, 1));
     REQUIRE(quarantinedDigests(store).empty());
     REQUIRE(suspectDigests(store).size() == 2);
-    applyAll(store, CrashWatch{"s2"}.onCrash({"poison"}, 1));
+    applyAll(store, CrashTracker{"s2"}.onCrash({"poison"}, 1));
     REQUIRE(quarantinedDigests(store) == std::set<std::string>{"poison"});
     REQUIRE(crashCount(store, "poison") == 2);
 }
@@ -31,16 +31,16 @@
 TEST_CASE("two crashes of the same server do not quarantine")
 {
     RumourStore store;
-    applyAll(store, CrashWatch{"s1"}.onCrash({"d"}, 1));
-    applyAll(store, CrashWatch{"s1"}.onCrash({"d"}, 2));
+    applyAll(store, CrashTracker{"s1"}.onCrash({"d"}, 1));
+    applyAll(store, CrashTracker{"s1"}.onCrash({"d"}, 2));
     REQUIRE(quarantinedDigests(store).empty());
 }
 
 TEST_CASE("requests that were answered before are not suspect after a crash")
 {
     RumourStore store;
-    CrashWatch one{"s1"};
-    CrashWatch two{"s2"};
+    CrashTracker one{"s1"};
+    CrashTracker two{"s2"};
     one.onAnswered("common");
     two.onAnswered("common");
     applyAll(store, one.onCrash({"common", "new"}, 1));
@@ -52,8 +52,8 @@
 TEST_CASE("a quarantine expires")
 {
     RumourStore store;
-    applyAll(store, CrashWatch{"s1"}.onCrash({"d"}, 1));
-    applyAll(store, CrashWatch{"s2"}.onCrash({"d"}, 1));
+    applyAll(store, CrashTracker{"s1"}.onCrash({"d"}, 1));
+    applyAll(store, CrashTracker{"s2"}.onCrash({"d"}, 1));
     store.expire(at(kCrashMemory.count() - 1));
     REQUIRE(quarantinedDigests(store).size() == 1);
     store.expire(at(kCrashMemory.count()));
