--- a/src/celeryramp/gate/gate.cpp
+++ b/src/celeryramp/gate/gate.cpp
@@ -79,7 +79,7 @@
     return call;
 }
 
-void Gate::serverLost(TimePoint now)
+void Gate::resetConcurrencyLimit(TimePoint now)
 {
     m_ramp.reset(now);
 }
--- a/src/celeryramp/gate/gate.h
+++ b/src/celeryramp/gate/gate.h
@@ -101,8 +101,8 @@
     /*! @brief Refuses all new calls from now on; queued calls still run. */
     void drain() noexcept { m_draining = true; }
 
-    /*! @brief Resets the concurrency limit after the server restarted or crashed. */
-    void serverLost(TimePoint now);
+    /*! @brief Resets the concurrency limit, since the server may have restarted or crashed. */
+    void resetConcurrencyLimit(TimePoint now);
 
     /*! @return True if no call is queued or running. */
     [[nodiscard]] bool isIdle() const noexcept { return waiting() == 0 && m_running == 0; }
--- a/src/celeryramp/node/gate_duty.cpp
+++ b/src/celeryramp/node/gate_duty.cpp
@@ -203,7 +203,7 @@
             m_crashWatch.onAnswered(call.call.digest);
         }
         if (answer.reason == Reason::ServerLost || answer.reason == Reason::Unreachable) {
-            m_gate.serverLost(end);
+            m_gate.resetConcurrencyLimit(end);
         }
         m_gate.finished(evidence, latency, m_contexts.waiting(), end);
         answer.load = m_gate.load();
