--- a/src/celeryramp/gate/crash_tracker.cpp
+++ b/src/celeryramp/gate/crash_tracker.cpp
@@ -44,7 +44,7 @@
     for (const auto &digest : digests) {
         if (m_answeredDigests.count(digest) == 0) {
             rumours.push_back({RumourKind::Crash, digest + " " + m_server, sequence,
-                               static_cast<std::uint32_t>(kCrashMemory.count())});
+                               static_cast<std::uint32_t>(kCrashRumourTtl.count())});
         }
     }
     return rumours;
--- a/src/celeryramp/gate/crash_tracker.h
+++ b/src/celeryramp/gate/crash_tracker.h
@@ -12,7 +12,7 @@
 namespace celeryramp {
 
 /*! @brief Time for which a crash counts against the requests that were in flight. */
-inline constexpr Millis kCrashMemory{300'000};
+inline constexpr Millis kCrashRumourTtl{300'000};
 
 /*!
  * @brief Detects requests that crash the servers which run them.
--- a/test/gate/crash_tracker.cpp
+++ b/test/gate/crash_tracker.cpp
@@ -54,8 +54,8 @@
     RumourStore store;
     applyAll(store, CrashTracker{"s1"}.onCrash({"d"}, 1));
     applyAll(store, CrashTracker{"s2"}.onCrash({"d"}, 1));
-    store.expire(at(kCrashMemory.count() - 1));
+    store.expire(at(kCrashRumourTtl.count() - 1));
     REQUIRE(quarantinedDigests(store).size() == 1);
-    store.expire(at(kCrashMemory.count()));
+    store.expire(at(kCrashRumourTtl.count()));
     REQUIRE(quarantinedDigests(store).empty());
 }
