--- a/src/celeryramp/gate/context_table.cpp
+++ b/src/celeryramp/gate/context_table.cpp
@@ -45,7 +45,7 @@
 {
     const std::lock_guard lock{m_mutex};
     if (const auto it = m_contexts.find(token); it != m_contexts.end() && it->second.nested > 0) {
-        it->second.summary.nested += time;
+        it->second.summary.nestedDuration += time;
         m_waiting -= --it->second.nested == 0 ? 1 : 0;
     }
 }
--- a/src/celeryramp/gate/context_table.h
+++ b/src/celeryramp/gate/context_table.h
@@ -14,7 +14,8 @@
 {
     bool nestedCallFailed
             = false; /*!< A nested call failed and the mesh has already handled the failure. */
-    Micros nested{0}; /*!< Sum of the durations of nested calls, also of overlapping ones. */
+    Micros nestedDuration{
+            0}; /*!< Sum of the durations of nested calls, also of overlapping ones. */
 };
 
 /*!
--- a/src/celeryramp/node/gate_duty.cpp
+++ b/src/celeryramp/node/gate_duty.cpp
@@ -184,7 +184,7 @@
     const auto end = Clock::now();
     // Time that the server waited for its own calls says nothing about the server itself.
     const auto whole = std::chrono::duration_cast<Micros>(end - start);
-    const auto latency = std::max(Micros{0}, whole - within.nested);
+    const auto latency = std::max(Micros{0}, whole - within.nestedDuration);
     if (within.nestedCallFailed && reply.status >= internal::kHttpServerError) {
         reply.headers.emplace_back(kRetriedHeader, "1");
     }
--- a/test/gate/context_table.cpp
+++ b/test/gate/context_table.cpp
@@ -25,7 +25,7 @@
     table.beginNested(token);
     const auto summary = table.close(token);
     REQUIRE(summary.nestedCallFailed);
-    REQUIRE(summary.nested == Micros{10});
+    REQUIRE(summary.nestedDuration == Micros{10});
     REQUIRE_FALSE(table.find(token));
     REQUIRE(table.size() == 0);
     REQUIRE(table.waiting() == 0);
