--- a/src/celeryramp/gate/context_table.cpp
+++ b/src/celeryramp/gate/context_table.cpp
@@ -25,7 +25,7 @@
     return it == m_contexts.end() ? std::nullopt : std::optional{it->second.context};
 }
 
-void ContextTable::noteFailure(const std::string &token)
+void ContextTable::recordNestedFailure(const std::string &token)
 {
     const std::lock_guard lock{m_mutex};
     if (const auto it = m_contexts.find(token); it != m_contexts.end()) {
--- a/src/celeryramp/gate/context_table.h
+++ b/src/celeryramp/gate/context_table.h
@@ -34,7 +34,7 @@
     [[nodiscard]] std::optional<CallContext> find(const std::string &token) const;
 
     /*! @brief Records that a nested call failed and that the mesh has handled the failure. */
-    void noteFailure(const std::string &token);
+    void recordNestedFailure(const std::string &token);
 
     /*! @brief Records the start of a nested call, for which the server now waits. */
     void beginNested(const std::string &token);
--- a/src/celeryramp/node/road.cpp
+++ b/src/celeryramp/node/road.cpp
@@ -458,7 +458,7 @@
 {
     const bool failed = !result || result.value().status >= internal::kHttpBadGateway;
     if (call.door == Door::Inside && failed) {
-        m_contexts.noteFailure(call.contextToken);
+        m_contexts.recordNestedFailure(call.contextToken);
     }
     if (call.ledgerHomes.empty()) {
         return;
--- a/test/gate/context_table.cpp
+++ b/test/gate/context_table.cpp
@@ -13,7 +13,7 @@
     REQUIRE(table.find(token)->depth == 2);
     REQUIRE_FALSE(table.find("0123"));
     REQUIRE_FALSE(table.find(""));
-    table.noteFailure(token);
+    table.recordNestedFailure(token);
     table.beginNested(token);
     table.beginNested(token);
     REQUIRE(table.waiting() == 1);
