--- a/src/celeryramp/gate/ledger_home.cpp
+++ b/src/celeryramp/gate/ledger_home.cpp
@@ -116,7 +116,7 @@
     m_recoveredFrom.clear();
 }
 
-std::vector<std::string> LedgerHome::wantedRecords(TimePoint now) const
+std::vector<std::string> LedgerHome::recoverySources(TimePoint now) const
 {
     std::vector<std::string> wanted;
     if (!m_snapshot || now < m_startedAt + kRecoveryDelay || isComplete(now)) {
--- a/src/celeryramp/gate/ledger_home.h
+++ b/src/celeryramp/gate/ledger_home.h
@@ -64,7 +64,7 @@
     void onPause(TimePoint now);
 
     /*! @return Servers whose records are still missing; empty before `kRecoveryDelay`. */
-    [[nodiscard]] std::vector<std::string> wantedRecords(TimePoint now) const;
+    [[nodiscard]] std::vector<std::string> recoverySources(TimePoint now) const;
 
     /*! @brief Removes expired records. */
     void tick(TimePoint now);
--- a/src/celeryramp/node/ledger_duty.cpp
+++ b/src/celeryramp/node/ledger_duty.cpp
@@ -118,7 +118,7 @@
         }
         if (now - m_lastRecovery >= internal::kRecoveryInterval) {
             m_lastRecovery = now;
-            wanted = m_home.wantedRecords(now);
+            wanted = m_home.recoverySources(now);
         }
     }
     for (const auto &server : wanted) {
--- a/test/gate/ledger.cpp
+++ b/test/gate/ledger.cpp
@@ -64,7 +64,7 @@
 
     void recover(const std::string &name, std::int64_t now)
     {
-        for (const auto &other : home(name).wantedRecords(at(now))) {
+        for (const auto &other : home(name).recoverySources(at(now))) {
             home(name).onRecords(home(other).onRecover(at(now)), at(now));
         }
     }
@@ -198,10 +198,10 @@
     LedgerHome home{self, kSettings, at(0)};
     home.onSnapshot(snapshot, at(0));
     REQUIRE(home.onReserve({1, key, "d", "a"}, at(100)).vote == Vote::Abstained);
-    REQUIRE(home.wantedRecords(at(100)).empty());
+    REQUIRE(home.recoverySources(at(100)).empty());
     const auto later = kVoteDelay.count();
-    REQUIRE(home.wantedRecords(at(later)).size() == snapshot->model().servers.size() - 1);
-    for (const auto &server : home.wantedRecords(at(later))) {
+    REQUIRE(home.recoverySources(at(later)).size() == snapshot->model().servers.size() - 1);
+    for (const auto &server : home.recoverySources(at(later))) {
         home.onRecords({server, true, {}}, at(later));
     }
     REQUIRE(home.isComplete(at(later)));
