--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -13,7 +13,7 @@
 #include "gate/ledger_home.h"
 #include "gate/ledger_homes.h"
 #include "limits/minter.h"
-#include "limits/wallet.h"
+#include "limits/token_cache.h"
 #include "membership/topology.h"
 #include "routing/picker.h"
 #include "wire/codec.h"
@@ -127,7 +127,7 @@
 void admitFromPurse(benchmark::State &state)
 {
     const auto snapshot = snapshotOf(1400, static_cast<int>(state.range(0)));
-    Wallet wallet{"zone-0"};
+    TokenCache wallet{"zone-0"};
     auto now = Clock::now();
     wallet.onSnapshot(snapshot, now);
     const auto &account = *snapshot->findAccount("account-1");
@@ -136,8 +136,8 @@
         tried.clear();
         now += Micros{1};
         auto result = wallet.admit(account, tried, now);
-        if (result.ask) {
-            wallet.onGrant(result.ask->id, {result.ask->amount, 0, Millis{500}}, now);
+        if (result.request) {
+            wallet.onGrant(result.request->id, {result.request->amount, 0, Millis{500}}, now);
         }
     }
 }
@@ -160,7 +160,7 @@
     const auto snapshot = snapshotOf(1400, 8);
     Gate gate{"server-0", 12, 256};
     const std::set<std::string> quarantined;
-    const GateSurroundings around{snapshot.get(), false, &quarantined, 0};
+    const GateInputs around{snapshot.get(), false, &quarantined, 0};
     const auto now = Clock::now();
     QueuedCall call;
     call.call.service = "service-0";
--- a/src/celeryramp/gate/context_table.cpp
+++ b/src/celeryramp/gate/context_table.cpp
@@ -25,11 +25,11 @@
     return it == m_contexts.end() ? std::nullopt : std::optional{it->second.context};
 }
 
-void ContextTable::noteFailure(const std::string &token)
+void ContextTable::recordNestedFailure(const std::string &token)
 {
     const std::lock_guard lock{m_mutex};
     if (const auto it = m_contexts.find(token); it != m_contexts.end()) {
-        it->second.summary.failedBelow = true;
+        it->second.summary.nestedCallFailed = true;
     }
 }
 
@@ -45,7 +45,7 @@
 {
     const std::lock_guard lock{m_mutex};
     if (const auto it = m_contexts.find(token); it != m_contexts.end() && it->second.nested > 0) {
-        it->second.summary.nested += time;
+        it->second.summary.nestedDuration += time;
         m_waiting -= --it->second.nested == 0 ? 1 : 0;
     }
 }
--- a/src/celeryramp/gate/context_table.h
+++ b/src/celeryramp/gate/context_table.h
@@ -12,9 +12,10 @@
 /*! @brief Summary of the nested calls that were made within a context. */
 struct ContextSummary
 {
-    bool failedBelow
+    bool nestedCallFailed
             = false; /*!< A nested call failed and the mesh has already handled the failure. */
-    Micros nested{0}; /*!< Sum of the durations of nested calls, also of overlapping ones. */
+    Micros nestedDuration{
+            0}; /*!< Sum of the durations of nested calls, also of overlapping ones. */
 };
 
 /*!
@@ -33,7 +34,7 @@
     [[nodiscard]] std::optional<CallContext> find(const std::string &token) const;
 
     /*! @brief Records that a nested call failed and that the mesh has handled the failure. */
-    void noteFailure(const std::string &token);
+    void recordNestedFailure(const std::string &token);
 
     /*! @brief Records the start of a nested call, for which the server now waits. */
     void beginNested(const std::string &token);
--- a/src/celeryramp/limits/wallet.h
+++ b/src/celeryramp/limits/token_cache.h
@@ -15,7 +15,7 @@
 namespace celeryramp {
 
 /*! @brief Request for tokens, to be sent to a minter. */
-struct TokenAsk
+struct TokenRequest
 {
     std::uint64_t id = 0;
     std::string minter;
@@ -34,7 +34,7 @@
 struct AdmissionResult
 {
     Admission admission = Admission::Refused;
-    std::optional<TokenAsk> ask;
+    std::optional<TokenRequest> request;
 };
 
 /*!
@@ -44,11 +44,11 @@
  * that neither message delays nor clock differences extend it. Tokens are requested in advance, so
  * that most calls are admitted without a message.
  */
-class Wallet
+class TokenCache
 {
 public:
     /*! @param zone Zone of this node; its minters are preferred. */
-    explicit Wallet(std::string zone) : m_zone{std::move(zone)} { }
+    explicit TokenCache(std::string zone) : m_zone{std::move(zone)} { }
 
     /*!
      * @brief Applies a new configuration.
@@ -110,9 +110,9 @@
     };
     struct PendingRequest
     {
-        TokenAsk request;
+        TokenRequest request;
         TimePoint requestedAt;
-        Millis life{0};
+        Millis lifetime{0};
     };
 
     [[nodiscard]] AccountEntry &entryOf(const ClientAccount &account, TimePoint now);
@@ -124,8 +124,8 @@
     [[nodiscard]] MinterEstimate *chooseMinter(AccountEntry &entry,
                                                const std::vector<std::string> &triedMinters,
                                                TimePoint now) const;
-    [[nodiscard]] TokenAsk requestTokens(AccountEntry &entry, const ClientAccount &account,
-                                         MinterEstimate &minter, bool isWaiting, TimePoint now);
+    [[nodiscard]] TokenRequest requestTokens(AccountEntry &entry, const ClientAccount &account,
+                                             MinterEstimate &minter, bool isWaiting, TimePoint now);
     void expireRequests(TimePoint now);
 
     std::string m_zone;
--- a/src/celeryramp/node/accounts_desk.h
+++ b/src/celeryramp/node/accounts_desk.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "limits/wallet.h"
+#include "limits/token_cache.h"
 #include "node/post_office.h"
 #include "node/waiter_table.h"
 
@@ -33,12 +33,12 @@
     void onUnsent(std::uint64_t id, TimePoint now);
 
 private:
-    void sendAsk(const TokenAsk &ask);
+    void sendAsk(const TokenRequest &ask);
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::uint64_t m_grants = 0; /*!< Counts changes that a waiting call should look at. */
-    Wallet m_wallet;
+    TokenCache m_wallet;
     PostOffice &m_post;
 };
 
--- a/src/celeryramp/node/gate_duty.cpp
+++ b/src/celeryramp/node/gate_duty.cpp
@@ -184,8 +184,8 @@
     const auto end = Clock::now();
     // Time that the server waited for its own calls says nothing about the server itself.
     const auto whole = std::chrono::duration_cast<Micros>(end - start);
-    const auto latency = std::max(Micros{0}, whole - within.nested);
-    if (within.failedBelow && reply.status >= internal::kHttpServerError) {
+    const auto latency = std::max(Micros{0}, whole - within.nestedDuration);
+    if (within.nestedCallFailed && reply.status >= internal::kHttpServerError) {
         reply.headers.emplace_back(kRetriedHeader, "1");
     }
     if (reply.end == BackendEnd::TimedOut) {
@@ -203,7 +203,7 @@
             m_crashWatch.onAnswered(call.call.digest);
         }
         if (answer.reason == Reason::ServerLost || answer.reason == Reason::Unreachable) {
-            m_gate.serverLost(end);
+            m_gate.resetConcurrencyLimit(end);
         }
         m_gate.finished(evidence, latency, m_contexts.waiting(), end);
         answer.load = m_gate.load();
@@ -269,8 +269,7 @@
     m_onCrash(std::move(rumours));
 }
 
-GateSurroundings GateDuty::surroundings(const SnapshotPtr &snapshot,
-                                        const FleetViewPtr &fleet) const
+GateInputs GateDuty::surroundings(const SnapshotPtr &snapshot, const FleetViewPtr &fleet) const
 {
     return {snapshot.get(), fleet->selfLeaving || fleet->superseded, &fleet->quarantined,
             m_contexts.waiting()};
--- a/src/celeryramp/node/gate_duty.h
+++ b/src/celeryramp/node/gate_duty.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "gate/context_table.h"
-#include "gate/crash_watch.h"
+#include "gate/crash_tracker.h"
 #include "gate/gate.h"
 #include "node/cell.h"
 #include "node/fleet_view.h"
@@ -63,8 +63,8 @@
                                              Micros latency);
     void refuse(const std::vector<Refusal> &refusals);
     void reportCrash(const std::string &digest);
-    [[nodiscard]] GateSurroundings surroundings(const SnapshotPtr &snapshot,
-                                                const FleetViewPtr &fleet) const;
+    [[nodiscard]] GateInputs surroundings(const SnapshotPtr &snapshot,
+                                          const FleetViewPtr &fleet) const;
 
     const NodeSettings &m_settings;
     const Cell<Snapshot> &m_snapshot;
@@ -79,7 +79,7 @@
     mutable std::mutex m_mutex;
     std::condition_variable m_ready;
     Gate m_gate;
-    CrashWatch m_crashWatch;
+    CrashTracker m_crashWatch;
     std::vector<std::thread> m_threads;
     bool m_stopping = false;
 };
--- a/src/celeryramp/node/ledger_duty.cpp
+++ b/src/celeryramp/node/ledger_duty.cpp
@@ -84,13 +84,13 @@
 {
     std::unique_lock lock{m_mutex};
     if (const auto *ask = std::get_if<TokenRequestMessage>(&message)) {
-        const auto grant = m_minter.take(ask->account, ask->microTokens, now);
+        const auto grant = m_minter.grant(ask->account, ask->microTokens, now);
         lock.unlock();
         m_grants.add();
         m_post.answer(link,
                       TokenGrantMessage{ask->id, ask->account, m_settings.server, grant.granted,
                                         grant.left,
-                                        static_cast<std::uint32_t>(grant.life.count())});
+                                        static_cast<std::uint32_t>(grant.lifetime.count())});
     } else if (const auto *reserve = std::get_if<ReserveMessage>(&message)) {
         auto vote = m_home.onReserve(*reserve, now);
         lock.unlock();
@@ -118,7 +118,7 @@
         }
         if (now - m_lastRecovery >= internal::kRecoveryInterval) {
             m_lastRecovery = now;
-            wanted = m_home.wantedRecords(now);
+            wanted = m_home.recoverySources(now);
         }
     }
     for (const auto &server : wanted) {
--- a/test/gate/context_table.cpp
+++ b/test/gate/context_table.cpp
@@ -13,7 +13,7 @@
     REQUIRE(table.find(token)->depth == 2);
     REQUIRE_FALSE(table.find("0123"));
     REQUIRE_FALSE(table.find(""));
-    table.noteFailure(token);
+    table.recordNestedFailure(token);
     table.beginNested(token);
     table.beginNested(token);
     REQUIRE(table.waiting() == 1);
@@ -24,8 +24,8 @@
     table.endNested("unknown", Micros{5});
     table.beginNested(token);
     const auto summary = table.close(token);
-    REQUIRE(summary.failedBelow);
-    REQUIRE(summary.nested == Micros{10});
+    REQUIRE(summary.nestedCallFailed);
+    REQUIRE(summary.nestedDuration == Micros{10});
     REQUIRE_FALSE(table.find(token));
     REQUIRE(table.size() == 0);
     REQUIRE(table.waiting() == 0);
--- a/test/limits/rate_bound.cpp
+++ b/test/limits/rate_bound.cpp
@@ -6,7 +6,7 @@
 
 #include "limits/account_share.h"
 #include "limits/minter.h"
-#include "limits/wallet.h"
+#include "limits/token_cache.h"
 #include "support/sample_config.h"
 
 using namespace celeryramp;
@@ -14,7 +14,8 @@
 
 namespace {
 
-/*! Wallets and minters of several nodes; tests delay, lose or duplicate the messages between them.
+/*! Token caches and minters of several nodes; tests delay, lose or duplicate the messages between
+ * them.
  */
 class Fleet
 {
@@ -25,9 +26,9 @@
         for (const auto &[name, server] : m_snapshot->model().servers) {
             m_names.push_back(name);
             m_minters.emplace(name, Minter{name});
-            m_wallets.emplace(name, Wallet{server.zone});
+            m_tokenCaches.emplace(name, TokenCache{server.zone});
             m_minters.at(name).onSnapshot(m_snapshot, at(0));
-            m_wallets.at(name).onSnapshot(m_snapshot, at(0));
+            m_tokenCaches.at(name).onSnapshot(m_snapshot, at(0));
         }
     }
 
@@ -52,16 +53,17 @@
             const auto request = m_requests[i];
             m_requests.erase(m_requests.begin() + std::ptrdiff_t(i));
             for (int n = lose ? 0 : (duplicate ? 2 : 1); n > 0; --n) {
-                const auto grant = m_minters.at(request.ask.minter)
-                                           .take(request.ask.account, request.ask.amount, at(now));
-                m_grants.push_back({request.from, request.ask.id, grant, request.tried});
+                const auto grant = m_minters.at(request.tokenRequest.minter)
+                                           .grant(request.tokenRequest.account,
+                                                  request.tokenRequest.amount, at(now));
+                m_grants.push_back({request.from, request.tokenRequest.id, grant, request.tried});
             }
         } else if (!m_grants.empty()) {
             const auto i = index % m_grants.size();
             const auto message = m_grants[i];
             m_grants.erase(m_grants.begin() + std::ptrdiff_t(i));
             for (int n = lose ? 0 : (duplicate ? 2 : 1); n > 0; --n) {
-                m_wallets.at(message.to).onGrant(message.id, message.grant, at(now));
+                m_tokenCaches.at(message.to).onGrant(message.id, message.grant, at(now));
                 auto tried = message.tried;
                 if (!tried.empty()) {
                     admit(message.to, tried, now);
@@ -80,7 +82,7 @@
     {
         const auto snapshot = testsupport::sampleSnapshot(2, shape);
         m_minters.at(name).onSnapshot(snapshot, at(now));
-        m_wallets.at(name).onSnapshot(snapshot, at(now));
+        m_tokenCaches.at(name).onSnapshot(snapshot, at(now));
     }
 
     Minter &minter(const std::string &name) { return m_minters.at(name); }
@@ -89,7 +91,7 @@
     struct RequestMessage
     {
         std::string from;
-        TokenAsk ask;
+        TokenRequest tokenRequest;
         std::vector<std::string> tried;
     };
     struct GrantMessage
@@ -103,10 +105,10 @@
     bool admit(const std::string &name, std::vector<std::string> &tried, std::int64_t now)
     {
         const auto &account = *m_snapshot->findAccount("acme");
-        const auto result = m_wallets.at(name).admit(account, tried, at(now));
-        if (result.ask) {
+        const auto result = m_tokenCaches.at(name).admit(account, tried, at(now));
+        if (result.request) {
             m_requests.push_back(
-                    {name, *result.ask,
+                    {name, *result.request,
                      result.admission == Admission::Wait ? tried : std::vector<std::string>{}});
         }
         if (result.admission == Admission::Admitted) {
@@ -118,7 +120,7 @@
     SnapshotPtr m_snapshot;
     std::vector<std::string> m_names;
     std::map<std::string, Minter> m_minters;
-    std::map<std::string, Wallet> m_wallets;
+    std::map<std::string, TokenCache> m_tokenCaches;
     std::deque<RequestMessage> m_requests;
     std::deque<GrantMessage> m_grants;
     std::vector<std::int64_t> m_admitted;
@@ -154,7 +156,7 @@
         double bound = 0.0;
         for (const auto &[name, server] : snapshot->model().servers) {
             const auto share = shareOf(*snapshot, account, name);
-            const auto lifetime = std::chrono::duration<double>(share.grantLife).count();
+            const auto lifetime = std::chrono::duration<double>(share.grantLifetime).count();
             rate += share.ratePerSecond / double(kMicroTokensPerCall);
             bound += (double(share.capacity) + share.ratePerSecond * lifetime)
                     / double(kMicroTokensPerCall);
@@ -215,21 +217,21 @@
     minter.onSnapshot(before, at(0));
     minter.onSnapshot(more, at(0));
     const auto all = 10'000 * kMicroTokensPerCall;
-    static_cast<void>(minter.take("acme", all, at(0)));
-    REQUIRE(minter.take("acme", all, at(1000)).granted <= 100 * kMicroTokensPerCall);
+    static_cast<void>(minter.grant("acme", all, at(0)));
+    REQUIRE(minter.grant("acme", all, at(1000)).granted <= 100 * kMicroTokensPerCall);
     const auto later = kShareGrowthDelay.count();
-    static_cast<void>(minter.take("acme", all, at(later)));
-    REQUIRE(minter.take("acme", all, at(later + 400)).granted > 300 * kMicroTokensPerCall);
+    static_cast<void>(minter.grant("acme", all, at(later)));
+    REQUIRE(minter.grant("acme", all, at(later + 400)).granted > 300 * kMicroTokensPerCall);
     minter.onSnapshot(less, at(later + 400));
-    REQUIRE(minter.take("acme", all, at(later + 1400)).granted <= 10 * kMicroTokensPerCall);
+    REQUIRE(minter.grant("acme", all, at(later + 1400)).granted <= 10 * kMicroTokensPerCall);
 }
 
 TEST_CASE("the buckets of a new incarnation start empty")
 {
     Minter minter{"s-z0-0"};
     minter.onSnapshot(testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0}), at(0));
-    REQUIRE(minter.take("acme", kMicroTokensPerCall, at(0)).granted == 0);
-    REQUIRE(minter.take("other", kMicroTokensPerCall, at(1000)).granted == 0);
+    REQUIRE(minter.grant("acme", kMicroTokensPerCall, at(0)).granted == 0);
+    REQUIRE(minter.grant("other", kMicroTokensPerCall, at(1000)).granted == 0);
 }
 
 TEST_CASE("a suspended minter grants nothing until it resumes")
@@ -237,23 +239,24 @@
     Minter minter{"s-z0-0"};
     minter.onSnapshot(testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0}), at(0));
     minter.suspend(at(500));
-    REQUIRE(minter.take("acme", kMicroTokensPerCall, at(2000)).granted == 0);
+    REQUIRE(minter.grant("acme", kMicroTokensPerCall, at(2000)).granted == 0);
     minter.resume(at(2000));
-    REQUIRE(minter.take("acme", kMicroTokensPerCall, at(2000)).granted == 0);
-    REQUIRE(minter.take("acme", kMicroTokensPerCall, at(2100)).granted == kMicroTokensPerCall);
+    REQUIRE(minter.grant("acme", kMicroTokensPerCall, at(2000)).granted == 0);
+    REQUIRE(minter.grant("acme", kMicroTokensPerCall, at(2100)).granted == kMicroTokensPerCall);
 }
 
 TEST_CASE("an expired grant adds no tokens")
 {
     const auto snapshot = testsupport::sampleSnapshot(1, {1, 1, 100.0, 100.0});
-    Wallet wallet{"z0"};
-    wallet.onSnapshot(snapshot, at(0));
+    TokenCache tokenCache{"z0"};
+    tokenCache.onSnapshot(snapshot, at(0));
     std::vector<std::string> tried;
-    const auto result = wallet.admit(*snapshot->findAccount("acme"), tried, at(0));
-    REQUIRE(result.ask);
-    const auto lifetime = grantLife(*snapshot->findAccount("acme"));
-    wallet.onGrant(result.ask->id, {result.ask->amount, 0, lifetime}, at(lifetime.count()));
-    REQUIRE(wallet.balance("acme", at(lifetime.count())) == 0);
+    const auto result = tokenCache.admit(*snapshot->findAccount("acme"), tried, at(0));
+    REQUIRE(result.request);
+    const auto lifetime = grantLifetime(*snapshot->findAccount("acme"));
+    tokenCache.onGrant(result.request->id, {result.request->amount, 0, lifetime},
+                       at(lifetime.count()));
+    REQUIRE(tokenCache.balance("acme", at(lifetime.count())) == 0);
 }
 
 TEST_CASE("calls within the rate are almost never refused")
