--- a/src/celeryramp/distribution/distribution_mode.h
+++ b/src/celeryramp/distribution/distribution_mode.h
@@ -2,11 +2,11 @@
 
 namespace celeryramp {
 
-/*! @brief How configurations reach nodes. */
+/*! @brief Selects how configurations reach the nodes; baselines serve for comparison. */
 enum class DistributionMode {
-    Tree, /*!< Two readers a zone, announcements down a tree, heartbeats repair. */
+    Tree, /*!< Two readers per zone, announcements along a tree, repair by heartbeats. */
     Watch, /*!< Baseline: every node watches the platform. */
-    Gossip /*!< Baseline: two readers a zone, announcements to random members. */
+    Gossip /*!< Baseline: two readers per zone, announcements to random nodes. */
 };
 
 } // namespace celeryramp
--- a/src/celeryramp/distribution/distributor.cpp
+++ b/src/celeryramp/distribution/distributor.cpp
@@ -10,8 +10,9 @@
 
 namespace internal {
 
-constexpr std::size_t kRepairNeighbours = 3;
-constexpr std::uint64_t kConfirmationsPerFarOne = 5; /*!< Other zones hear every fifth. */
+constexpr std::size_t kRepairNeighbourCount = 3;
+/*! Every fifth periodic announcement of the first reader also goes to the other zones. */
+constexpr std::uint64_t kConfirmationsPerCrossZoneRound = 5;
 constexpr Millis kGossipInterval{1000};
 constexpr int kGossipFanOut = 2;
 constexpr std::uint32_t kNeverConfirmedMs = std::numeric_limits<std::uint32_t>::max();
@@ -54,7 +55,7 @@
                              const IsUsable &isUsable, TimePoint now, Outbox &out)
 {
     const ConfigStamp stamp{message.version, message.digest};
-    const bool isFirstOfSequence = noteSequence(message);
+    const bool isFirstOfSequence = recordSequence(message);
     if (stamp == m_acceptance.stamp()) {
         confirm(message.confirmedAgoMs, now);
     }
@@ -64,7 +65,7 @@
     }
     if (m_acceptance.isNewer(stamp) && !m_acceptance.wasRejected(stamp)) {
         if (isFirstOfSequence) {
-            m_heard[message.root] = message;
+            m_pendingAnnouncements[message.root] = message;
         }
         Pull pull{from, stamp, now};
         if (m_pull && !(m_pull->wanted < stamp)) {
@@ -75,7 +76,7 @@
         return;
     }
     if (isFirstOfSequence) {
-        announceDown(message, isUsable, out);
+        announceToChildren(message, isUsable, out);
     }
 }
 
@@ -108,10 +109,10 @@
 bool Distributor::onDocument(const std::string &from, const DocumentMessage &message,
                              const IsUsable &isUsable, TimePoint now, Outbox &out)
 {
-    Pull answered{from, {}, now};
+    Pull answeredPull{from, {}, now};
     if (m_pull && m_pull->peer == from) {
-        answered = *std::exchange(m_pull, std::nullopt);
-        answered.sentAt = now;
+        answeredPull = *std::exchange(m_pull, std::nullopt);
+        answeredPull.sentAt = now;
     }
     if (message.bytes.data.empty()) {
         if (message.version != 0 && message.version == m_acceptance.stamp().version) {
@@ -124,7 +125,7 @@
     if (!document) {
         if (message.delta && m_acceptance.stamp().version < message.version) {
             ++m_counters.deltasUnusable;
-            startPull(std::move(answered), true, out);
+            startPull(std::move(answeredPull), true, out);
         }
         return false;
     }
@@ -138,9 +139,9 @@
         gossip(isUsable, now, out);
         return true;
     }
-    if (!passOnHeard(isUsable, now, out)) {
+    if (!forwardPendingAnnouncements(isUsable, now, out)) {
         const auto neighbours
-                = m_topology.successors(m_self, internal::kRepairNeighbours, isUsable);
+                = m_topology.successors(m_self, internal::kRepairNeighbourCount, isUsable);
         for (const auto &neighbour : neighbours) {
             out.send(neighbour, announcement({}, now));
         }
@@ -150,14 +151,14 @@
 
 void Distributor::onHeartbeat(const HeartbeatMessage &message, TimePoint now, Outbox &out)
 {
-    const ConfigStamp theirs{message.version, message.digest};
-    if (theirs < m_acceptance.stamp()) {
+    const ConfigStamp peerStamp{message.version, message.digest};
+    if (peerStamp < m_acceptance.stamp()) {
         out.send(message.server, announcement({}, now));
         return;
     }
-    const bool wanted = m_acceptance.isNewer(theirs) && !m_acceptance.wasRejected(theirs);
-    if (wanted && !m_pull) {
-        startPull({message.server, theirs, now}, false, out);
+    const bool isWanted = m_acceptance.isNewer(peerStamp) && !m_acceptance.wasRejected(peerStamp);
+    if (isWanted && !m_pull) {
+        startPull({message.server, peerStamp, now}, false, out);
     }
 }
 
@@ -182,8 +183,9 @@
     const bool due = now - m_lastAnnounce >= interval;
     const bool isReader = role != ReaderRole::None || m_mode == DistributionMode::Gossip;
     if (isReader && due && m_acceptance.inForce()) {
-        const bool farther = ++m_confirmations % internal::kConfirmationsPerFarOne == 0;
-        announceAsRoot(farther && role == ReaderRole::First, isUsable, now, out);
+        const bool isCrossZoneRound
+                = ++m_confirmations % internal::kConfirmationsPerCrossZoneRound == 0;
+        announceAsRoot(isCrossZoneRound && role == ReaderRole::First, isUsable, now, out);
     }
 }
 
@@ -194,10 +196,10 @@
 
 bool Distributor::accept(ConfigDocument document, TimePoint now)
 {
-    const auto before = m_acceptance.rejections().size();
+    const auto rejectionsBefore = m_acceptance.rejections().size();
     const auto result = m_acceptance.offer(std::move(document), now);
     if (!result) {
-        m_counters.rejected += m_acceptance.rejections().size() != before
+        m_counters.rejected += m_acceptance.rejections().size() != rejectionsBefore
                         || result.error().code != ConfigErrorCode::Stale
                 ? 1
                 : 0;
@@ -208,17 +210,17 @@
     return true;
 }
 
-bool Distributor::passOnHeard(const IsUsable &isUsable, TimePoint now, Outbox &out)
+bool Distributor::forwardPendingAnnouncements(const IsUsable &isUsable, TimePoint now, Outbox &out)
 {
     bool fromOtherZone = false;
     bool any = false;
-    for (const auto &[root, message] : std::exchange(m_heard, {})) {
+    for (const auto &[root, message] : std::exchange(m_pendingAnnouncements, {})) {
         if (!(ConfigStamp{message.version, message.digest} == m_acceptance.stamp())) {
             continue;
         }
         any = true;
         if (m_topology.zoneOf(root) == m_zone) {
-            announceDown(message, isUsable, out);
+            announceToChildren(message, isUsable, out);
         } else {
             fromOtherZone = true;
         }
@@ -239,7 +241,7 @@
     }
     auto message = announcement(m_self, now);
     message.sequence = ++m_sequence;
-    announceDown(message, isUsable, out);
+    announceToChildren(message, isUsable, out);
     if (acrossZones) {
         announceAcrossZones(message, isUsable, out);
     }
@@ -259,8 +261,8 @@
     }
 }
 
-void Distributor::announceDown(const AnnounceMessage &message, const IsUsable &isUsable,
-                               Outbox &out)
+void Distributor::announceToChildren(const AnnounceMessage &message, const IsUsable &isUsable,
+                                     Outbox &out)
 {
     ++m_counters.announcements;
     for (const auto &child : m_topology.children(message.root, m_self, isUsable)) {
@@ -268,7 +270,7 @@
     }
 }
 
-bool Distributor::noteSequence(const AnnounceMessage &message)
+bool Distributor::recordSequence(const AnnounceMessage &message)
 {
     if (message.root.empty()) {
         return false;
@@ -294,11 +296,11 @@
     }
 }
 
-void Distributor::startPull(Pull pull, bool wholeOnly, Outbox &out)
+void Distributor::startPull(Pull pull, bool requestFull, Outbox &out)
 {
     ++m_counters.pulls;
     const auto &have = m_acceptance.stamp();
-    out.send(pull.peer, wholeOnly ? PullMessage{} : PullMessage{have.version, have.digest});
+    out.send(pull.peer, requestFull ? PullMessage{} : PullMessage{have.version, have.digest});
     m_pull = std::move(pull);
 }
 
--- a/src/celeryramp/distribution/distributor.h
+++ b/src/celeryramp/distribution/distributor.h
@@ -16,12 +16,12 @@
 
 namespace celeryramp {
 
-/*! @brief Interval at which a reader announces the version in force, changed or not. */
+/*! @brief Interval at which a reader announces the version in force, even without a change. */
 inline constexpr Millis kConfirmInterval{3000};
-/*! @brief A pull without an answer for this long goes to the next announcer. */
+/*! @brief Time after which an unanswered pull is sent to another peer that announced. */
 inline constexpr Millis kPullTimeout{400};
 
-/*! @brief Counters of the distributor. */
+/*! @brief Event counters of a Distributor since its construction. */
 struct DistributorCounters
 {
     std::uint64_t accepted = 0;
@@ -36,60 +36,67 @@
 };
 
 /*!
- * @brief Brings a configuration to every node: announcements down a tree, pulls of deltas, repair
- * by heartbeats.
+ * @brief Distributes configurations to all nodes.
  *
- * Decides only: no I/O, no clock, no thread. Whatever the membership view says, a document takes
- * effect only through Acceptance, so that wrong views cost time and never order.
+ * New versions are announced along a tree, nodes pull deltas from the sender of an announcement,
+ * and heartbeats repair what is missed. The class performs no I/O, reads no clock and starts no
+ * thread. A document takes effect only through Acceptance. A wrong membership view can therefore
+ * delay a version, but never bring an older one in force.
  */
 class Distributor
 {
 public:
     /*!
-     * @param self Name of this node's server.
-     * @param zone Its zone.
+     * @param self Name of the server of this node.
+     * @param zone Availability zone of that server.
+     * @param incarnation Start of the announcement sequence; must be above the sequence of the
+     * previous process of this server.
      * @param mode How announcements spread.
-     * @param incarnation Start of the announcement sequence, above that of the predecessor.
      */
     Distributor(std::string self, std::string zone, std::uint64_t incarnation,
                 DistributionMode mode = DistributionMode::Tree);
 
-    /*! @brief A complete document was read from the platform. @return True when it came in force.
+    /*!
+     * @brief Offers a document that was read from the platform, and announces it once accepted.
+     * @return True if the document came in force.
      */
     bool onPlatformDocument(ConfigDocument document, const IsUsable &isUsable, TimePoint now,
                             Outbox &out);
 
-    /*! @brief The platform answered and had nothing newer. */
+    /*! @brief Records that the platform answered and has no newer version. */
     void onPlatformConfirmed(TimePoint now);
 
-    /*! @brief A peer says what it has. */
+    /*! @brief Handles the version that a peer announces: pulls it, forwards it or answers it. */
     void onAnnounce(const std::string &from, const AnnounceMessage &message,
                     const IsUsable &isUsable, TimePoint now, Outbox &out);
 
-    /*! @brief A peer asks for the configuration in force. */
+    /*! @brief Answers a pull with a delta if the base is known, else with the full document. */
     void onPull(const std::string &from, const PullMessage &message, TimePoint now, Outbox &out);
 
-    /*! @brief A peer sent a configuration. @return True when it came in force. */
+    /*!
+     * @brief Handles the answer to a pull.
+     * @return True if the document came in force.
+     */
     bool onDocument(const std::string &from, const DocumentMessage &message,
                     const IsUsable &isUsable, TimePoint now, Outbox &out);
 
-    /*! @brief A peer's heartbeat tells its version. */
+    /*! @brief Pulls from the sender if its version is newer; announces if it is older. */
     void onHeartbeat(const HeartbeatMessage &message, TimePoint now, Outbox &out);
 
-    /*! @brief Asks a peer for its configuration, at start or when nothing is known. */
+    /*! @brief Pulls the configuration of a peer, whichever version it has. */
     void pullFrom(const std::string &peer, TimePoint now, Outbox &out);
 
-    /*! @brief Repeats what timed out; a reader confirms the version in force now and then. */
+    /*! @brief Handles pull timeouts; readers also announce the version in force periodically. */
     void tick(ReaderRole role, const IsUsable &isUsable, TimePoint now, Outbox &out);
 
     [[nodiscard]] const Acceptance &acceptance() const noexcept { return m_acceptance; }
     [[nodiscard]] const Topology &topology() const noexcept { return m_topology; }
     [[nodiscard]] const DistributorCounters &counters() const noexcept { return m_counters; }
 
-    /*! @return Age of the last confirmation by the platform, own or by a peer's word. */
+    /*! @return Time since the last known confirmation by the platform, direct or through peers. */
     [[nodiscard]] Millis confirmedAgo(TimePoint now) const;
 
-    /*! @return True when the platform ever confirmed, directly or through peers. */
+    /*! @return True once a confirmation by the platform is known, direct or through peers. */
     [[nodiscard]] bool isConfirmed() const noexcept { return m_confirmedAt.has_value(); }
 
 private:
@@ -101,16 +108,18 @@
     };
 
     bool accept(ConfigDocument document, TimePoint now);
-    /*! @brief Passes on what was announced while this node was behind. @return False for nothing.
+    /*!
+     * @brief Forwards announcements of the version that has now come in force.
+     * @return False if there were none.
      */
-    bool passOnHeard(const IsUsable &isUsable, TimePoint now, Outbox &out);
+    bool forwardPendingAnnouncements(const IsUsable &isUsable, TimePoint now, Outbox &out);
     void announceAsRoot(bool acrossZones, const IsUsable &isUsable, TimePoint now, Outbox &out);
     void announceAcrossZones(const AnnounceMessage &message, const IsUsable &isUsable,
                              Outbox &out) const;
-    void announceDown(const AnnounceMessage &message, const IsUsable &isUsable, Outbox &out);
-    [[nodiscard]] bool noteSequence(const AnnounceMessage &message);
+    void announceToChildren(const AnnounceMessage &message, const IsUsable &isUsable, Outbox &out);
+    [[nodiscard]] bool recordSequence(const AnnounceMessage &message);
     void gossip(const IsUsable &isUsable, TimePoint now, Outbox &out);
-    void startPull(Pull pull, bool wholeOnly, Outbox &out);
+    void startPull(Pull pull, bool requestFull, Outbox &out);
     void confirm(std::uint32_t agoMs, TimePoint now);
     [[nodiscard]] std::uint32_t confirmedAgoMs(TimePoint now) const;
     [[nodiscard]] AnnounceMessage announcement(const std::string &root, TimePoint now) const;
@@ -119,16 +128,18 @@
     std::string m_zone;
     Acceptance m_acceptance;
     Topology m_topology;
-    std::map<std::string, std::uint64_t> m_lastSequence; /*!< Per root. */
+    std::map<std::string, std::uint64_t> m_lastSequence; /*!< Highest sequence number per root. */
     std::uint64_t m_sequence = 0;
     DistributionMode m_mode;
     RandomEngine m_random;
-    std::map<std::string, AnnounceMessage> m_heard; /*!< Newer than in force, by root. */
+    /*! Announcements of versions newer than the one in force, by root. */
+    std::map<std::string, AnnounceMessage> m_pendingAnnouncements;
     std::optional<Pull> m_pull;
-    std::optional<Pull> m_alternative; /*!< Another peer that announced the same or more. */
+    /*! Another announcer, used after a timeout. Its version is at most that of m_pull. */
+    std::optional<Pull> m_alternative;
     std::optional<TimePoint> m_confirmedAt;
     TimePoint m_lastAnnounce;
-    std::uint64_t m_confirmations = 0; /*!< Announcements made without a change. */
+    std::uint64_t m_confirmations = 0; /*!< Periodic announcements made. */
     DistributorCounters m_counters;
 };
 
--- a/src/celeryramp/distribution/fwd.h
+++ b/src/celeryramp/distribution/fwd.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the distribution module: how a configuration and small facts reach
- *  every node.
+ *  Forward declarations of the distribution module, which spreads configurations and rumours to
+ *  all nodes.
  */
 
 namespace celeryramp {
--- a/src/celeryramp/distribution/outbox.h
+++ b/src/celeryramp/distribution/outbox.h
@@ -8,20 +8,20 @@
 
 namespace celeryramp {
 
-/*! @brief Messages that a decision wants sent, in order. */
+/*! @brief Collects outgoing messages in the order in which they are to be sent. */
 class Outbox
 {
 public:
-    /*! @brief A message and the server whose node is to get it. */
+    /*! @brief Name of the destination server and the message. */
     using Item = std::pair<std::string, Message>;
 
-    /*! @brief Adds a message. */
+    /*! @brief Appends a message to the node of the given server. */
     void send(const std::string &server, Message message)
     {
         m_items.emplace_back(server, std::move(message));
     }
 
-    /*! @return All messages added so far; the outbox is empty afterwards. */
+    /*! @brief Empties the outbox. @return All messages that were in it, in order. */
     [[nodiscard]] std::vector<Item> take() { return std::exchange(m_items, {}); }
 
     [[nodiscard]] bool empty() const noexcept { return m_items.empty(); }
--- a/src/celeryramp/distribution/reader_role.h
+++ b/src/celeryramp/distribution/reader_role.h
@@ -2,11 +2,11 @@
 
 namespace celeryramp {
 
-/*! @brief What a node does for its zone towards the platform and the other zones. */
+/*! @brief Role of a node in reading the configuration for its availability zone. */
 enum class ReaderRole {
-    None, /*!< Neither. */
+    None, /*!< Receives the configuration from other nodes only. */
     Reader, /*!< Watches the platform. */
-    First /*!< Watches the platform, and keeps in touch with the other zones. */
+    First /*!< Watches the platform and also sends periodic announcements to other zones. */
 };
 
 } // namespace celeryramp
--- a/src/celeryramp/distribution/rumour_mill.cpp
+++ b/src/celeryramp/distribution/rumour_mill.cpp
@@ -4,7 +4,7 @@
 
 namespace internal {
 
-constexpr std::size_t kRumourNeighbours = 3;
+constexpr std::size_t kRumourNeighbourCount = 3;
 
 } // namespace internal
 
@@ -22,22 +22,22 @@
                                           const Topology &topology, const IsUsable &isUsable,
                                           TimePoint now, Outbox &out)
 {
-    auto fresh = applyAll(message.rumours, now);
+    auto newRumours = applyAll(message.rumours, now);
     if (message.root.empty()) {
         if (!message.reply) {
             out.send(from, RumourMessage{m_store.all(now), {}, true});
         }
-        for (const auto &next :
-             topology.successors(m_self, internal::kRumourNeighbours, isUsable)) {
-            if (!fresh.empty() && next != from) {
-                out.send(next, RumourMessage{fresh, {}, true});
+        for (const auto &neighbour :
+             topology.successors(m_self, internal::kRumourNeighbourCount, isUsable)) {
+            if (!newRumours.empty() && neighbour != from) {
+                out.send(neighbour, RumourMessage{newRumours, {}, true});
             }
         }
-        return fresh;
+        return newRumours;
     }
     const bool sameZone = topology.zoneOf(message.root) == m_zone;
-    spread(fresh, sameZone ? message.root : m_self, false, topology, isUsable, out);
-    return fresh;
+    spread(newRumours, sameZone ? message.root : m_self, false, topology, isUsable, out);
+    return newRumours;
 }
 
 void RumourMill::onHeartbeat(const HeartbeatMessage &message, TimePoint now, Outbox &out)
@@ -49,22 +49,23 @@
 
 std::vector<Rumour> RumourMill::applyAll(const std::vector<Rumour> &rumours, TimePoint now)
 {
-    std::vector<Rumour> fresh;
+    std::vector<Rumour> newRumours;
     for (const auto &rumour : rumours) {
         if (m_store.apply(rumour, now)) {
-            fresh.push_back(rumour);
+            newRumours.push_back(rumour);
         }
     }
-    return fresh;
+    return newRumours;
 }
 
-void RumourMill::spread(const std::vector<Rumour> &fresh, const std::string &root, bool acrossZones,
-                        const Topology &topology, const IsUsable &isUsable, Outbox &out) const
+void RumourMill::spread(const std::vector<Rumour> &newRumours, const std::string &root,
+                        bool acrossZones, const Topology &topology, const IsUsable &isUsable,
+                        Outbox &out) const
 {
-    if (fresh.empty()) {
+    if (newRumours.empty()) {
         return;
     }
-    const RumourMessage message{fresh, root, false};
+    const RumourMessage message{newRumours, root, false};
     for (const auto &child : topology.children(root, m_self, isUsable)) {
         out.send(child, message);
     }
--- a/src/celeryramp/distribution/wake_guard.h
+++ b/src/celeryramp/distribution/wake_guard.h
@@ -8,55 +8,60 @@
 namespace celeryramp {
 
 /*!
- * @brief Whether a process that was stopped for a while may still act on keys it believed before.
+ * @brief Detects pauses of the process and decides whether its keys may be trusted after one.
  *
- * A withdrawal that was published meanwhile is in force everywhere else. The process therefore
- * doubts its keys from the pause until somebody confirms the configuration, or until it has waited
- * long enough to count as cut off, from where on the freshness that a class asks for decides.
+ * While the process is paused, a key may be withdrawn, and the withdrawal is then already in force
+ * on all other nodes. The keys are therefore untrusted from the pause until the configuration is
+ * confirmed. If no confirmation arrives within kConfirmTimeout, the node counts as disconnected,
+ * and the freshness that the class requires decides instead.
  */
 class WakeGuard
 {
 public:
-    /*! Time without a sign of life of the own duties that counts as a pause. */
-    static constexpr Millis kPauseNoticed{1500};
-    /*! Time after a pause in which peers or the platform confirm, also slow ones. */
-    static constexpr Millis kConfirmWait{3000};
-    /*! Messages that waited in sockets during the pause are read within this time, and look newer
-     *  than they are. */
-    static constexpr Millis kBacklog{200};
-
-    /*! @brief A regular sign of life. @return The pause that ended with it, if there was one. */
+    /*! Shortest interval without a call of onAlive() that counts as a pause. */
+    static constexpr Millis kPauseThreshold{1500};
+    /*! Time after a pause for peers or the platform to confirm, long enough for slow ones too. */
+    static constexpr Millis kConfirmTimeout{3000};
+    /*! Time after a pause within which messages buffered in sockets are read. Confirmations dated
+     *  within it are ignored, because such messages appear newer than they are. */
+    static constexpr Millis kBacklogDrainTime{200};
+
+    /*!
+     * @brief Records that the process is running; call this regularly.
+     * @return Length of the pause that this call ends, or nullopt if there was none.
+     */
     std::optional<Millis> onAlive(TimePoint now) noexcept
     {
-        const auto silence = millisBetween(m_aliveAt.value_or(now), now);
-        m_aliveAt = now;
-        if (silence < kPauseNoticed) {
+        const auto elapsed = millisBetween(m_lastAliveAt.value_or(now), now);
+        m_lastAliveAt = now;
+        if (elapsed < kPauseThreshold) {
             return std::nullopt;
         }
-        m_wokeAt = now;
-        return silence;
+        m_resumedAt = now;
+        return elapsed;
     }
 
-    /*! @brief The configuration in force was confirmed, as of that time. */
+    /*! @brief Records that the configuration in force was confirmed as of the given time. */
     void onConfirmed(TimePoint asOf) noexcept
     {
-        if (m_wokeAt && asOf >= *m_wokeAt + kBacklog) {
-            m_wokeAt.reset();
+        if (m_resumedAt && asOf >= *m_resumedAt + kBacklogDrainTime) {
+            m_resumedAt.reset();
         }
     }
 
-    /*! @return True while keys that are held must not be believed. */
+    /*! @return True while the keys held by this process must not be trusted. */
     [[nodiscard]] bool doubtsKeys(TimePoint now) const noexcept
     {
-        if (m_aliveAt && millisBetween(*m_aliveAt, now) >= kPauseNoticed) {
+        if (m_lastAliveAt && millisBetween(*m_lastAliveAt, now) >= kPauseThreshold) {
             return true;
         }
-        return m_wokeAt && millisBetween(*m_wokeAt, now) < kConfirmWait;
+        return m_resumedAt && millisBetween(*m_resumedAt, now) < kConfirmTimeout;
     }
 
 private:
-    std::optional<TimePoint> m_aliveAt;
-    std::optional<TimePoint> m_wokeAt; /*!< Set until the configuration is confirmed. */
+    std::optional<TimePoint> m_lastAliveAt;
+    /*! End of the last pause, until a confirmation resets it. */
+    std::optional<TimePoint> m_resumedAt;
 };
 
 } // namespace celeryramp
--- a/test/distribution/distributor.cpp
+++ b/test/distribution/distributor.cpp
@@ -15,11 +15,11 @@
 
 const testsupport::SampleShape kShape{2, 6, 100.0, 50.0};
 
-/*! Distributors joined by messages that a test delivers, loses or holds back. */
-class Mail
+/*! Distributors connected by a message queue whose messages a test delivers, drops or delays. */
+class SimulatedNetwork
 {
 public:
-    explicit Mail(const testsupport::SampleShape &shape = kShape)
+    explicit SimulatedNetwork(const testsupport::SampleShape &shape = kShape)
     {
         const auto snapshot = testsupport::sampleSnapshot(1, shape);
         for (const auto &[name, server] : snapshot->model().servers) {
@@ -39,45 +39,46 @@
     void collect(const std::string &from, Outbox &out)
     {
         for (auto &[to, message] : out.take()) {
-            m_letters.push_back({from, to, std::move(message)});
+            m_queue.push_back({from, to, std::move(message)});
         }
     }
 
-    [[nodiscard]] std::size_t waiting() const { return m_letters.size(); }
-    void lose(std::size_t i) { m_letters.erase(m_letters.begin() + std::ptrdiff_t(i)); }
+    [[nodiscard]] std::size_t queuedCount() const { return m_queue.size(); }
+    void drop(std::size_t i) { m_queue.erase(m_queue.begin() + std::ptrdiff_t(i)); }
 
     void deliver(std::size_t i, TimePoint now)
     {
-        const auto letter = m_letters[i];
-        lose(i);
+        const auto queued = m_queue[i];
+        drop(i);
         Outbox out;
-        auto &node = m_nodes.at(letter.to);
-        if (const auto *announce = std::get_if<AnnounceMessage>(&letter.message)) {
-            node.onAnnounce(letter.from, *announce, m_usable, now, out);
-        } else if (const auto *pull = std::get_if<PullMessage>(&letter.message)) {
-            node.onPull(letter.from, *pull, now, out);
-        } else if (const auto *document = std::get_if<DocumentMessage>(&letter.message)) {
-            node.onDocument(letter.from, *document, m_usable, now, out);
+        auto &node = m_nodes.at(queued.to);
+        if (const auto *announce = std::get_if<AnnounceMessage>(&queued.message)) {
+            node.onAnnounce(queued.from, *announce, m_usable, now, out);
+        } else if (const auto *pull = std::get_if<PullMessage>(&queued.message)) {
+            node.onPull(queued.from, *pull, now, out);
+        } else if (const auto *document = std::get_if<DocumentMessage>(&queued.message)) {
+            node.onDocument(queued.from, *document, m_usable, now, out);
         }
-        collect(letter.to, out);
+        collect(queued.to, out);
     }
 
     void deliverAll(TimePoint now)
     {
-        while (waiting() > 0) {
+        while (queuedCount() > 0) {
             deliver(0, now);
         }
     }
 
-    void platform(const std::string &reader, const ConfigDocument &document, TimePoint now)
+    void publish(const std::string &reader, const ConfigDocument &document, TimePoint now)
     {
         Outbox out;
         node(reader).onPlatformDocument(document, m_usable, now, out);
         collect(reader, out);
     }
 
-    /*! One round of heartbeats of everybody to the three successors, and across zones. */
-    void heartbeats(TimePoint now)
+    /*! Sends a heartbeat from each node to its three successors and to the first reader of each
+     * zone, then calls tick() on the node. */
+    void exchangeHeartbeats(TimePoint now)
     {
         const Topology topology{*testsupport::sampleSnapshot(1, kShape)};
         for (auto &[name, distributor] : m_nodes) {
@@ -105,7 +106,7 @@
     }
 
 private:
-    struct Letter
+    struct QueuedMessage
     {
         std::string from;
         std::string to;
@@ -115,7 +116,7 @@
     IsUsable m_usable = [](const std::string &) { return true; };
     std::map<std::string, Distributor> m_nodes;
     std::map<std::string, std::string> m_zones;
-    std::deque<Letter> m_letters;
+    std::deque<QueuedMessage> m_queue;
     std::uint64_t m_restarts = 0;
 };
 
@@ -125,78 +126,79 @@
     return topology.readers(zone, [](const std::string &) { return true; }).front();
 }
 
-void giveAll(Mail &mail, std::uint64_t version, const testsupport::SampleShape &shape = kShape)
+void publishToAll(SimulatedNetwork &network, std::uint64_t version,
+                  const testsupport::SampleShape &shape = kShape)
 {
     const auto document = sampleDocument(version, shape);
-    for (auto &[name, node] : mail.nodes()) {
-        mail.platform(name, document, at(0));
+    for (auto &[name, node] : network.nodes()) {
+        network.publish(name, document, at(0));
     }
-    mail.deliverAll(at(0));
+    network.deliverAll(at(0));
 }
 
 } // namespace
 
-TEST_CASE("one reader's version reaches every node of every zone, by deltas")
+TEST_CASE("a version published by one reader reaches every node of every zone as a delta")
 {
-    Mail mail;
-    giveAll(mail, 1);
-    mail.platform(readerOf("z0"), sampleDocument(2, kShape), at(10));
-    mail.deliverAll(at(10));
-    REQUIRE(mail.allAt(2));
-    std::uint64_t wholes = 0;
+    SimulatedNetwork network;
+    publishToAll(network, 1);
+    network.publish(readerOf("z0"), sampleDocument(2, kShape), at(10));
+    network.deliverAll(at(10));
+    REQUIRE(network.allAt(2));
+    std::uint64_t fullDocuments = 0;
     std::uint64_t deltas = 0;
-    for (const auto &[name, node] : mail.nodes()) {
-        wholes += node.counters().wholesSent;
+    for (const auto &[name, node] : network.nodes()) {
+        fullDocuments += node.counters().wholesSent;
         deltas += node.counters().deltasSent;
     }
-    REQUIRE(wholes == 0);
-    REQUIRE(deltas == mail.nodes().size() - 1);
+    REQUIRE(fullDocuments == 0);
+    REQUIRE(deltas == network.nodes().size() - 1);
 }
 
-TEST_CASE("two readers at once reach every node in any order of delivery, without heartbeats")
+TEST_CASE("a version from two readers reaches all nodes without heartbeats in any delivery order")
 {
-    REQUIRE(rc::check("orders of delivery", [] {
+    REQUIRE(rc::check("delivery orders", [] {
         const testsupport::SampleShape large{1, 40, 100.0, 50.0};
-        Mail mail{large};
-        giveAll(mail, 1, large);
+        SimulatedNetwork network{large};
+        publishToAll(network, 1, large);
         const Topology topology{*testsupport::sampleSnapshot(1, large)};
         const auto all = [](const std::string &) { return true; };
         for (const auto &reader : topology.readers("z0", all)) {
-            mail.platform(reader, sampleDocument(2, large), at(10));
+            network.publish(reader, sampleDocument(2, large), at(10));
         }
-        const auto picks = *rc::gen::container<std::vector<std::size_t>>(
+        const auto choices = *rc::gen::container<std::vector<std::size_t>>(
                 400, rc::gen::inRange<std::size_t>(0, 1000));
-        for (const auto pick : picks) {
-            if (mail.waiting() > 0) {
-                mail.deliver(pick % mail.waiting(), at(10));
+        for (const auto choice : choices) {
+            if (network.queuedCount() > 0) {
+                network.deliver(choice % network.queuedCount(), at(10));
             }
         }
-        mail.deliverAll(at(10));
-        RC_ASSERT(mail.allAt(2));
+        network.deliverAll(at(10));
+        RC_ASSERT(network.allAt(2));
     }));
 }
 
-TEST_CASE("a node that starts empty pulls the whole from a peer")
+TEST_CASE("a node that starts without a configuration pulls the full document from a peer")
 {
-    Mail mail;
-    giveAll(mail, 3);
-    const auto name = mail.nodes().begin()->first;
-    mail.restart(name);
+    SimulatedNetwork network;
+    publishToAll(network, 3);
+    const auto name = network.nodes().begin()->first;
+    network.restart(name);
     Outbox out;
-    mail.node(name).pullFrom(readerOf("z1"), at(10), out);
-    mail.collect(name, out);
-    mail.deliverAll(at(10));
-    REQUIRE(mail.allAt(3));
+    network.node(name).pullFrom(readerOf("z1"), at(10), out);
+    network.collect(name, out);
+    network.deliverAll(at(10));
+    REQUIRE(network.allAt(3));
 }
 
-TEST_CASE("a pull without an answer goes to the next announcer")
+TEST_CASE("an unanswered pull is sent to the next announcing peer")
 {
-    Mail mail;
-    giveAll(mail, 1);
-    Mail ahead;
-    giveAll(ahead, 2);
-    const auto stamp = ahead.nodes().begin()->second.acceptance().stamp();
-    auto &node = mail.nodes().begin()->second;
+    SimulatedNetwork network;
+    publishToAll(network, 1);
+    SimulatedNetwork aheadNetwork;
+    publishToAll(aheadNetwork, 2);
+    const auto stamp = aheadNetwork.nodes().begin()->second.acceptance().stamp();
+    auto &node = network.nodes().begin()->second;
     const auto usable = [](const std::string &) { return true; };
     Outbox out;
     node.onAnnounce("first", {stamp.version, stamp.digest, "", 0, 0}, usable, at(0), out);
@@ -208,61 +210,62 @@
     REQUIRE(items.front().first == "second");
 }
 
-TEST_CASE("a reader confirms to its zone often and to other zones seldom, a change to all at once")
+TEST_CASE("every fifth confirmation of the first reader goes to other zones and a change goes at "
+          "once")
 {
-    Mail mail;
-    giveAll(mail, 1);
+    SimulatedNetwork network;
+    publishToAll(network, 1);
     const auto usable = [](const std::string &) { return true; };
-    auto &first = mail.node(readerOf("z0"));
-    const auto farAnnouncements = [&](ReaderRole role, int confirmations) {
-        int far = 0;
+    auto &first = network.node(readerOf("z0"));
+    const auto crossZoneAnnouncements = [&](ReaderRole role, int confirmations) {
+        int crossZoneCount = 0;
         for (int i = 0; i < confirmations; ++i) {
             Outbox out;
             static std::int64_t now = 0;
             now += kConfirmInterval.count();
             first.tick(role, usable, at(now), out);
             for (const auto &[to, message] : out.take()) {
-                far += first.topology().zoneOf(to) == "z1" ? 1 : 0;
+                crossZoneCount += first.topology().zoneOf(to) == "z1" ? 1 : 0;
             }
         }
-        return far;
+        return crossZoneCount;
     };
-    REQUIRE(farAnnouncements(ReaderRole::First, 10) == 2);
-    REQUIRE(farAnnouncements(ReaderRole::Reader, 10) == 0);
+    REQUIRE(crossZoneAnnouncements(ReaderRole::First, 10) == 2);
+    REQUIRE(crossZoneAnnouncements(ReaderRole::Reader, 10) == 0);
     Outbox out;
     first.onPlatformDocument(sampleDocument(2, kShape), usable, at(0), out);
-    int far = 0;
+    int crossZoneCount = 0;
     for (const auto &[to, message] : out.take()) {
-        far += first.topology().zoneOf(to) == "z1" ? 1 : 0;
+        crossZoneCount += first.topology().zoneOf(to) == "z1" ? 1 : 0;
     }
-    REQUIRE(far == 1);
+    REQUIRE(crossZoneCount == 1);
 }
 
-TEST_CASE("a refused version is not pulled again and reaches nobody")
+TEST_CASE("a rejected version is not pulled again and reaches no other node")
 {
-    Mail mail;
-    giveAll(mail, 1);
+    SimulatedNetwork network;
+    publishToAll(network, 1);
     auto bad = sampleDocument(2, kShape);
     bad.parts["zones"] = "{";
-    mail.platform(readerOf("z0"), bad, at(1));
-    mail.deliverAll(at(1));
-    mail.heartbeats(at(2));
-    mail.deliverAll(at(2));
-    REQUIRE(mail.allAt(1));
-    REQUIRE(mail.node(readerOf("z0")).acceptance().rejections().size() == 1);
+    network.publish(readerOf("z0"), bad, at(1));
+    network.deliverAll(at(1));
+    network.exchangeHeartbeats(at(2));
+    network.deliverAll(at(2));
+    REQUIRE(network.allAt(1));
+    REQUIRE(network.node(readerOf("z0")).acceptance().rejections().size() == 1);
 }
 
-TEST_CASE("with messages lost and nodes restarted, versions never go back, and heartbeats bring "
-          "all up")
+TEST_CASE("versions never decrease with lost messages and restarts and heartbeats bring all nodes "
+          "up to date")
 {
     REQUIRE(rc::check("lossy delivery", [] {
-        Mail mail;
-        giveAll(mail, 1);
+        SimulatedNetwork network;
+        publishToAll(network, 1);
         std::vector<std::string> names;
-        for (const auto &[name, node] : mail.nodes()) {
+        for (const auto &[name, node] : network.nodes()) {
             names.push_back(name);
         }
-        std::map<std::string, std::uint64_t> seen;
+        std::map<std::string, std::uint64_t> lastVersions;
         std::uint64_t version = 1;
         std::int64_t now = 0;
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100));
@@ -270,30 +273,31 @@
             now += 50;
             if (step < 8) {
                 const auto reader = step % 2 == 0 ? readerOf("z0") : readerOf("z1");
-                mail.platform(reader, sampleDocument(++version, kShape), at(now));
+                network.publish(reader, sampleDocument(++version, kShape), at(now));
             } else if (step < 12) {
                 const auto &name = names[static_cast<std::size_t>(step) % names.size()];
-                mail.restart(name);
-                seen[name] = 0; // a new process; it may not serve before it asked its peers
+                network.restart(name);
+                // A new process serves no requests before it has asked its peers.
+                lastVersions[name] = 0;
             } else if (step < 20) {
-                mail.heartbeats(at(now));
-            } else if (mail.waiting() > 0) {
-                const auto i = static_cast<std::size_t>(step) * 7 % mail.waiting();
-                step % 4 == 0 ? mail.lose(i) : mail.deliver(i, at(now));
+                network.exchangeHeartbeats(at(now));
+            } else if (network.queuedCount() > 0) {
+                const auto i = static_cast<std::size_t>(step) * 7 % network.queuedCount();
+                step % 4 == 0 ? network.drop(i) : network.deliver(i, at(now));
             }
-            for (const auto &[name, node] : mail.nodes()) {
-                RC_ASSERT(node.acceptance().stamp().version >= seen[name]);
-                seen[name] = node.acceptance().stamp().version;
+            for (const auto &[name, node] : network.nodes()) {
+                RC_ASSERT(node.acceptance().stamp().version >= lastVersions[name]);
+                lastVersions[name] = node.acceptance().stamp().version;
             }
         }
-        // A reader confirms what the platform has now; ten rounds of heartbeats repair the rest.
-        mail.platform(readerOf("z0"), sampleDocument(version, kShape), at(now));
+        // A reader publishes the current version; ten heartbeat rounds repair the other nodes.
+        network.publish(readerOf("z0"), sampleDocument(version, kShape), at(now));
         for (int round = 0; round < 10; ++round) {
             now += 2000;
-            mail.deliverAll(at(now));
-            mail.heartbeats(at(now));
+            network.deliverAll(at(now));
+            network.exchangeHeartbeats(at(now));
         }
-        mail.deliverAll(at(now));
-        RC_ASSERT(mail.allAt(version));
+        network.deliverAll(at(now));
+        RC_ASSERT(network.allAt(version));
     }));
 }
--- a/test/distribution/wake_guard.cpp
+++ b/test/distribution/wake_guard.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("A process that was stopped doubts its keys before it has noticed the pause")
+TEST_CASE("Keys are untrusted during a pause before the process has detected it")
 {
     WakeGuard guard;
     guard.onAlive(kStart);
@@ -20,26 +20,27 @@
     CHECK(guard.doubtsKeys(kStart + Millis{5000}));
 }
 
-TEST_CASE("A process that was stopped doubts its keys until the configuration is confirmed")
+TEST_CASE("Keys are untrusted after a pause until the configuration is confirmed")
 {
     WakeGuard guard;
     guard.onAlive(kStart);
-    const auto woke = kStart + Millis{5000};
-    CHECK(guard.onAlive(woke) == Millis{5000});
-    CHECK(guard.doubtsKeys(woke + Millis{100}));
-    guard.onConfirmed(woke + Millis{100}); // may have waited in a socket since before the pause
-    CHECK(guard.doubtsKeys(woke + Millis{200}));
-    guard.onConfirmed(woke + Millis{210});
-    CHECK_FALSE(guard.doubtsKeys(woke + Millis{300}));
+    const auto resumed = kStart + Millis{5000};
+    CHECK(guard.onAlive(resumed) == Millis{5000});
+    CHECK(guard.doubtsKeys(resumed + Millis{100}));
+    // This confirmation may have been buffered in a socket since before the pause.
+    guard.onConfirmed(resumed + Millis{100});
+    CHECK(guard.doubtsKeys(resumed + Millis{200}));
+    guard.onConfirmed(resumed + Millis{210});
+    CHECK_FALSE(guard.doubtsKeys(resumed + Millis{300}));
 }
 
-TEST_CASE("A process that nobody confirms counts as cut off after a while")
+TEST_CASE("Without a confirmation the keys are untrusted only until the timeout")
 {
     WakeGuard guard;
     guard.onAlive(kStart);
     auto now = kStart + Millis{5000};
     guard.onAlive(now);
-    const auto end = now + WakeGuard::kConfirmWait;
+    const auto end = now + WakeGuard::kConfirmTimeout;
     for (; now < end; now += Millis{100}) {
         CHECK_FALSE(guard.onAlive(now).has_value());
         CHECK(guard.doubtsKeys(now));
@@ -48,7 +49,7 @@
     CHECK_FALSE(guard.doubtsKeys(now));
 }
 
-TEST_CASE("Regular signs of life raise no doubt")
+TEST_CASE("Keys stay trusted while the process runs without a pause")
 {
     WakeGuard guard;
     for (int i = 0; i < 50; ++i) {
