--- a/src/celeryramp/distribution/fwd.h
+++ b/src/celeryramp/distribution/fwd.h
@@ -10,6 +10,6 @@
 class Distributor;
 class Outbox;
 class RumourMill;
-class WakeGuard;
+class PauseGuard;
 
 } // namespace celeryramp
--- a/src/celeryramp/distribution/wake_guard.h
+++ b/src/celeryramp/distribution/pause_guard.h
@@ -15,7 +15,7 @@
  * confirmed. If no confirmation arrives within kConfirmTimeout, the node counts as disconnected,
  * and the freshness that the class requires decides instead.
  */
-class WakeGuard
+class PauseGuard
 {
 public:
     /*! Shortest interval without a call of onAlive() that counts as a pause. */
@@ -50,7 +50,7 @@
     }
 
     /*! @return True while the keys held by this process must not be trusted. */
-    [[nodiscard]] bool doubtsKeys(TimePoint now) const noexcept
+    [[nodiscard]] bool areKeysUntrusted(TimePoint now) const noexcept
     {
         if (m_lastAliveAt && millisBetween(*m_lastAliveAt, now) >= kPauseThreshold) {
             return true;
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_duty.cpp
@@ -105,7 +105,7 @@
 bool ControlDuty::doubtsKeys(TimePoint now) const
 {
     const std::lock_guard lock{m_mutex};
-    return m_wakeGuard.doubtsKeys(now);
+    return m_pauseGuard.areKeysUntrusted(now);
 }
 
 void ControlDuty::loop()
@@ -115,12 +115,12 @@
         const auto now = Clock::now();
         {
             const std::lock_guard lock{m_mutex};
-            if (const auto pause = m_wakeGuard.onAlive(now)) {
+            if (const auto pause = m_pauseGuard.onAlive(now)) {
                 notePause(*pause, now);
             }
             if (event) {
                 handle(*event, now);
-                m_wakeGuard.onConfirmed(now - m_distributor.confirmedAgo(now));
+                m_pauseGuard.onConfirmed(now - m_distributor.confirmedAgo(now));
             }
             if (now - m_lastTick >= internal::kTick) {
                 tick(now);
--- a/src/celeryramp/node/control_duty.h
+++ b/src/celeryramp/node/control_duty.h
@@ -10,8 +10,8 @@
 
 #include "core/ring.h"
 #include "distribution/distributor.h"
+#include "distribution/pause_guard.h"
 #include "distribution/rumour_mill.h"
-#include "distribution/wake_guard.h"
 #include "membership/failure_detector.h"
 #include "membership/membership_view.h"
 #include "node/cell.h"
@@ -144,7 +144,7 @@
     std::optional<ConfigDocument> m_heldDocument; /*!< Of the platform, until peers are heard. */
     TimePoint m_startedAt;
     TimePoint m_lastTick;
-    WakeGuard m_wakeGuard;
+    PauseGuard m_pauseGuard;
     TimePoint m_lastHeartbeat;
     TimePoint m_lastSearch;
     std::atomic<bool> m_stopping{false};
