--- a/src/celeryramp/distribution/fwd.h
+++ b/src/celeryramp/distribution/fwd.h
@@ -9,7 +9,7 @@
 
 class Distributor;
 class Outbox;
-class RumourMill;
+class RumourDistributor;
 class PauseGuard;
 
 } // namespace celeryramp
--- a/src/celeryramp/distribution/rumour_mill.cpp
+++ b/src/celeryramp/distribution/rumour_distributor.cpp
@@ -1,4 +1,4 @@
-#include "distribution/rumour_mill.h"
+#include "distribution/rumour_distributor.h"
 
 namespace celeryramp {
 
@@ -8,19 +8,20 @@
 
 } // namespace internal
 
-RumourMill::RumourMill(std::string self, std::string zone)
+RumourDistributor::RumourDistributor(std::string self, std::string zone)
     : m_self{std::move(self)}, m_zone{std::move(zone)}
 { }
 
-void RumourMill::publish(const std::vector<Rumour> &rumours, const Topology &topology,
-                         const IsUsable &isUsable, TimePoint now, Outbox &out)
+void RumourDistributor::publish(const std::vector<Rumour> &rumours, const Topology &topology,
+                                const IsUsable &isUsable, TimePoint now, Outbox &out)
 {
     spread(applyAll(rumours, now), m_self, true, topology, isUsable, out);
 }
 
-std::vector<Rumour> RumourMill::onMessage(const std::string &from, const RumourMessage &message,
-                                          const Topology &topology, const IsUsable &isUsable,
-                                          TimePoint now, Outbox &out)
+std::vector<Rumour> RumourDistributor::onMessage(const std::string &from,
+                                                 const RumourMessage &message,
+                                                 const Topology &topology, const IsUsable &isUsable,
+                                                 TimePoint now, Outbox &out)
 {
     auto newRumours = applyAll(message.rumours, now);
     if (message.root.empty()) {
@@ -40,14 +41,14 @@
     return newRumours;
 }
 
-void RumourMill::onHeartbeat(const HeartbeatMessage &message, TimePoint now, Outbox &out)
+void RumourDistributor::onHeartbeat(const HeartbeatMessage &message, TimePoint now, Outbox &out)
 {
     if (message.rumours != m_store.digest()) {
         out.send(message.server, RumourMessage{m_store.all(now), {}, false});
     }
 }
 
-std::vector<Rumour> RumourMill::applyAll(const std::vector<Rumour> &rumours, TimePoint now)
+std::vector<Rumour> RumourDistributor::applyAll(const std::vector<Rumour> &rumours, TimePoint now)
 {
     std::vector<Rumour> newRumours;
     for (const auto &rumour : rumours) {
@@ -58,9 +59,9 @@
     return newRumours;
 }
 
-void RumourMill::spread(const std::vector<Rumour> &newRumours, const std::string &root,
-                        bool acrossZones, const Topology &topology, const IsUsable &isUsable,
-                        Outbox &out) const
+void RumourDistributor::spread(const std::vector<Rumour> &newRumours, const std::string &root,
+                               bool acrossZones, const Topology &topology, const IsUsable &isUsable,
+                               Outbox &out) const
 {
     if (newRumours.empty()) {
         return;
--- a/src/celeryramp/distribution/rumour_mill.h
+++ b/src/celeryramp/distribution/rumour_distributor.h
@@ -17,11 +17,11 @@
  * heartbeats differ. A wrong membership view only makes such a repair necessary; the rumours
  * themselves are hints.
  */
-class RumourMill
+class RumourDistributor
 {
 public:
     /*! @param self Name of this node's server. @param zone Its zone. */
-    RumourMill(std::string self, std::string zone);
+    RumourDistributor(std::string self, std::string zone);
 
     /*! @brief Stores rumours that originate at this node and sends the new ones to all zones. */
     void publish(const std::vector<Rumour> &rumours, const Topology &topology,
--- a/src/celeryramp/node/control_duty.h
+++ b/src/celeryramp/node/control_duty.h
@@ -11,7 +11,7 @@
 #include "core/ring.h"
 #include "distribution/distributor.h"
 #include "distribution/pause_guard.h"
-#include "distribution/rumour_mill.h"
+#include "distribution/rumour_distributor.h"
 #include "membership/failure_detector.h"
 #include "membership/membership_view.h"
 #include "node/cell.h"
@@ -124,7 +124,7 @@
     Counter &m_suspicions;
     mutable std::mutex m_mutex; /*!< Guards what operators and the platform duty look at. */
     Distributor m_distributor;
-    RumourMill m_rumours;
+    RumourDistributor m_rumours;
     MembershipView m_view;
     FailureDetector m_detector;
     Outbox m_out;
