--- a/src/celeryramp/distribution/distributor.cpp
+++ b/src/celeryramp/distribution/distributor.cpp
@@ -98,7 +98,7 @@
                                  {makeDelta(*base, m_acceptance.document())}});
         return;
     }
-    ++m_counters.wholesSent;
+    ++m_counters.fullDocumentsSent;
     out.send(from,
              DocumentMessage{stamp.version,
                              false,
--- a/src/celeryramp/distribution/distributor.h
+++ b/src/celeryramp/distribution/distributor.h
@@ -27,7 +27,7 @@
     std::uint64_t accepted = 0;
     std::uint64_t rejected = 0;
     std::uint64_t deltasSent = 0;
-    std::uint64_t wholesSent = 0;
+    std::uint64_t fullDocumentsSent = 0;
     std::uint64_t deltasApplied = 0;
     std::uint64_t deltasUnusable = 0;
     std::uint64_t pulls = 0;
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_duty.cpp
@@ -495,7 +495,7 @@
              {{"accepted", counters.accepted},
               {"rejected", counters.rejected},
               {"deltas_sent", counters.deltasSent},
-              {"wholes_sent", counters.wholesSent},
+              {"wholes_sent", counters.fullDocumentsSent},
               {"deltas_applied", counters.deltasApplied},
               {"deltas_unusable", counters.deltasUnusable},
               {"pulls", counters.pulls},
--- a/test/distribution/distributor.cpp
+++ b/test/distribution/distributor.cpp
@@ -148,7 +148,7 @@
     std::uint64_t fullDocuments = 0;
     std::uint64_t deltas = 0;
     for (const auto &[name, node] : network.nodes()) {
-        fullDocuments += node.counters().wholesSent;
+        fullDocuments += node.counters().fullDocumentsSent;
         deltas += node.counters().deltasSent;
     }
     REQUIRE(fullDocuments == 0);
