--- a/src/celeryramp/distribution/outbox.h
+++ b/src/celeryramp/distribution/outbox.h
@@ -22,7 +22,7 @@
     }
 
     /*! @brief Empties the outbox. @return All messages that were in it, in order. */
-    [[nodiscard]] std::vector<Item> take() { return std::exchange(m_items, {}); }
+    [[nodiscard]] std::vector<Item> takeAll() { return std::exchange(m_items, {}); }
 
     [[nodiscard]] bool empty() const noexcept { return m_items.empty(); }
 
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_duty.cpp
@@ -419,7 +419,7 @@
 
 void ControlDuty::flush()
 {
-    for (auto &[server, message] : m_out.take()) {
+    for (auto &[server, message] : m_out.takeAll()) {
         m_post.post(server, std::move(message));
     }
 }
--- a/test/distribution/distributor.cpp
+++ b/test/distribution/distributor.cpp
@@ -38,7 +38,7 @@
 
     void collect(const std::string &from, Outbox &out)
     {
-        for (auto &[to, message] : out.take()) {
+        for (auto &[to, message] : out.takeAll()) {
             m_queue.push_back({from, to, std::move(message)});
         }
     }
@@ -203,9 +203,9 @@
     Outbox out;
     node.onAnnounce("first", {stamp.version, stamp.digest, "", 0, 0}, usable, at(0), out);
     node.onAnnounce("second", {stamp.version, stamp.digest, "", 0, 0}, usable, at(1), out);
-    REQUIRE(out.take().size() == 1);
+    REQUIRE(out.takeAll().size() == 1);
     node.tick(ReaderRole::None, usable, at(kPullTimeout.count()), out);
-    const auto items = out.take();
+    const auto items = out.takeAll();
     REQUIRE(items.size() == 1);
     REQUIRE(items.front().first == "second");
 }
@@ -224,7 +224,7 @@
             static std::int64_t now = 0;
             now += kConfirmInterval.count();
             first.tick(role, usable, at(now), out);
-            for (const auto &[to, message] : out.take()) {
+            for (const auto &[to, message] : out.takeAll()) {
                 crossZoneCount += first.topology().zoneOf(to) == "z1" ? 1 : 0;
             }
         }
@@ -235,7 +235,7 @@
     Outbox out;
     first.onPlatformDocument(sampleDocument(2, kShape), usable, at(0), out);
     int crossZoneCount = 0;
-    for (const auto &[to, message] : out.take()) {
+    for (const auto &[to, message] : out.takeAll()) {
         crossZoneCount += first.topology().zoneOf(to) == "z1" ? 1 : 0;
     }
     REQUIRE(crossZoneCount == 1);
