--- a/src/celeryramp/node/ending.h
+++ b/src/celeryramp/node/call_failure.h
@@ -4,8 +4,8 @@
 
 namespace celeryramp {
 
-/*! @brief Why a call's road ends before an answer of the backend server. */
-struct Ending
+/*! @brief Why a call ends without an answer from the backend server. */
+struct CallFailure
 {
     Outcome outcome = Outcome::NotRun;
     Reason reason = Reason::None;
--- a/src/celeryramp/node/road.cpp
+++ b/src/celeryramp/node/call_handler.cpp
@@ -1,4 +1,4 @@
-#include "node/road.h"
+#include "node/call_handler.h"
 
 #include <algorithm>
 #include <charconv>
@@ -12,10 +12,11 @@
 
 namespace internal {
 
-constexpr std::uint32_t kMaxDepth = 18;
+constexpr std::uint32_t kMaxCallDepth = 18;
 constexpr int kMaxAttempts = 5;
 constexpr int kAttemptsBeforeQueueing = 3;
-constexpr Millis kLastWord{30}; /*!< Wait past the deadline for a gate to say `not run`. */
+constexpr Millis kCancelGracePeriod{
+        30}; /*!< Wait after a cancel for the gate to answer `not run`. */
 constexpr std::size_t kRequestIdBytes = 12;
 constexpr std::size_t kMaxIdempotencyKey = 256;
 constexpr std::size_t kMaxStoredAnswer = 16 * 1024;
@@ -24,25 +25,25 @@
 constexpr int kHttpGatewayTimeout = 504;
 const std::string kBearer = "Bearer ";
 
-/*! Counts a call as long as it is on the road. */
-class RoadCounter
+/*! Counts a call while it is in flight. */
+class InFlightCounter
 {
 public:
-    explicit RoadCounter(std::atomic<int> &count) : m_count{count} { ++m_count; }
-    ~RoadCounter() { --m_count; }
-    RoadCounter(const RoadCounter &) = delete;
-    RoadCounter &operator=(const RoadCounter &) = delete;
+    explicit InFlightCounter(std::atomic<int> &count) : m_count{count} { ++m_count; }
+    ~InFlightCounter() { --m_count; }
+    InFlightCounter(const InFlightCounter &) = delete;
+    InFlightCounter &operator=(const InFlightCounter &) = delete;
 
 private:
     std::atomic<int> &m_count;
 };
 
-[[nodiscard]] Ending notRun(Reason reason)
+[[nodiscard]] CallFailure notRun(Reason reason)
 {
     return {Outcome::NotRun, reason};
 }
 
-[[nodiscard]] std::optional<Millis> wantedDeadline(const HttpRequest &request)
+[[nodiscard]] std::optional<Millis> requestedTimeout(const HttpRequest &request)
 {
     const auto text = request.header("X-Request-Timeout-Ms");
     std::int64_t n = 0;
@@ -51,7 +52,7 @@
     return valid && n > 0 ? std::optional{Millis{n}} : std::nullopt;
 }
 
-[[nodiscard]] HeaderList forwardable(const HeaderList &headers)
+[[nodiscard]] HeaderList forwardedHeaders(const HeaderList &headers)
 {
     HeaderList kept;
     kept.reserve(headers.size());
@@ -63,7 +64,7 @@
     return kept;
 }
 
-[[nodiscard]] std::string digestOf(const std::string &account, const HttpRequest &request)
+[[nodiscard]] std::string requestDigest(const std::string &account, const HttpRequest &request)
 {
     std::string text;
     for (const auto *part : {&account, &request.method, &request.target, &request.body}) {
@@ -72,7 +73,7 @@
     return sha256Hex(text).substr(0, kDigestDigits);
 }
 
-[[nodiscard]] bool hasRetriedMark(const AnswerMessage &answer)
+[[nodiscard]] bool hasRetriedHeader(const AnswerMessage &answer)
 {
     return std::any_of(answer.headers.begin(), answer.headers.end(),
                        [](const auto &header) { return sameHeader(header.first, kRetriedHeader); });
@@ -89,7 +90,7 @@
     return answer;
 }
 
-/*! Puts the attempts of one call together: an answer counts most, then that it may have run. */
+/*! Combines the attempts of one call. An answer takes precedence, then an unknown outcome. */
 class DeliveryResult
 {
 public:
@@ -98,62 +99,64 @@
         if (answer.outcome == Outcome::Answered) {
             m_answer = std::move(answer);
         } else {
-            note(Ending{answer.outcome, answer.reason});
+            note(CallFailure{answer.outcome, answer.reason});
         }
     }
 
-    void note(const Ending &ending)
+    void note(const CallFailure &ending)
     {
-        const bool hides
-                = m_ending.outcome == Outcome::Unknown && ending.outcome == Outcome::NotRun;
-        if (!hides) {
-            m_ending = ending;
+        const bool keepsUnknown
+                = m_failure.outcome == Outcome::Unknown && ending.outcome == Outcome::NotRun;
+        if (!keepsUnknown) {
+            m_failure = ending;
         }
     }
 
-    [[nodiscard]] Result<AnswerMessage, Ending> take()
+    [[nodiscard]] Result<AnswerMessage, CallFailure> take()
     {
-        return m_answer ? Result<AnswerMessage, Ending>{std::move(*m_answer)}
-                        : Result<AnswerMessage, Ending>{m_ending};
+        return m_answer ? Result<AnswerMessage, CallFailure>{std::move(*m_answer)}
+                        : Result<AnswerMessage, CallFailure>{m_failure};
     }
 
 private:
     std::optional<AnswerMessage> m_answer;
-    Ending m_ending{Outcome::NotRun, Reason::NoServer};
+    CallFailure m_failure{Outcome::NotRun, Reason::NoServer};
 };
 
 } // namespace internal
 
-Road::Road(const NodeSettings &settings, const RoadSurroundings &around,
-           const Cell<Snapshot> &snapshot, const Cell<FleetView> &fleet, ContextTable &contexts,
-           RoutingDesk &routing, AccountsDesk &accounts, PostOffice &post, MetricsRegistry &metrics)
-    : m_settings{settings}, m_around{around}, m_snapshot{snapshot}, m_fleet{fleet},
-      m_contexts{contexts}, m_routing{routing}, m_accounts{accounts}, m_post{post},
+CallHandler::CallHandler(const NodeSettings &settings, const NodeStatus &nodeStatus,
+                         const SharedValue<Snapshot> &snapshot, const SharedValue<FleetView> &fleet,
+                         ContextTable &contexts, RequestRouter &router,
+                         AdmissionController &admission, MessageSender &sender,
+                         MetricsRegistry &metrics)
+    : m_settings{settings}, m_nodeStatus{nodeStatus}, m_snapshot{snapshot}, m_fleet{fleet},
+      m_contexts{contexts}, m_router{router}, m_admission{admission}, m_sender{sender},
       m_metrics{metrics}, m_answered{metrics.counter("calls_total{outcome=\"answered\"}")},
       m_retries{metrics.counter("call_repeats_total")},
       m_crossed{metrics.counter("crossed_answers_total")}, m_latency{
                                                                    metrics.latency("call_seconds")}
 { }
 
-HttpResponse Road::serve(const HttpRequest &request, Door door)
+HttpResponse CallHandler::serve(const HttpRequest &request, CallOrigin origin)
 {
-    const internal::RoadCounter counter{m_underWay};
-    RoadCall call;
-    call.door = door;
+    const internal::InFlightCounter counter{m_inFlight};
+    CallState call;
+    call.origin = origin;
     call.startedAt = Clock::now();
-    const auto result = travel(call, request);
+    const auto result = process(call, request);
     settle(call, result);
-    auto response = answer(call, result);
+    auto response = makeResponse(call, result);
     const auto taken = std::chrono::duration_cast<Micros>(Clock::now() - call.startedAt);
     m_latency.record(taken);
-    if (door == Door::Inside) {
+    if (origin == CallOrigin::LocalServer) {
         m_contexts.endNested(call.contextToken, taken);
     }
-    response.closeConnection = m_around.isLeaving() && door == Door::Outside;
+    response.closeConnection = m_nodeStatus.isLeaving() && origin == CallOrigin::External;
     return response;
 }
 
-Result<AnswerMessage, Ending> Road::travel(RoadCall &call, const HttpRequest &request)
+Result<AnswerMessage, CallFailure> CallHandler::process(CallState &call, const HttpRequest &request)
 {
     if (const auto step = receive(call, request); !step) {
         return step.error();
@@ -174,11 +177,11 @@
     return deliver(call);
 }
 
-Road::Step Road::receive(RoadCall &call, const HttpRequest &request) const
+CallHandler::Step CallHandler::receive(CallState &call, const HttpRequest &request) const
 {
     call.message.request = randomHex(internal::kRequestIdBytes);
     call.message.chain = call.message.request;
-    if (!m_around.isReady(call.startedAt)) {
+    if (!m_nodeStatus.isReady(call.startedAt)) {
         return internal::notRun(Reason::NotReady);
     }
     call.snapshot = m_snapshot.get();
@@ -189,7 +192,7 @@
     }
     call.workClass = call.snapshot->findClass(call.route->workClass);
     auto limit = call.workClass->deadline;
-    if (const auto wanted = internal::wantedDeadline(request)) {
+    if (const auto wanted = internal::requestedTimeout(request)) {
         limit = std::min(limit, *wanted);
     }
     call.deadline = call.startedAt + limit;
@@ -202,27 +205,28 @@
     message.workClass = call.workClass->name;
     message.method = request.method;
     message.target = request.target;
-    message.headers = internal::forwardable(request.headers);
+    message.headers = internal::forwardedHeaders(request.headers);
     message.body.data = request.body;
     message.latencyMs = static_cast<std::uint32_t>(call.workClass->latency.count());
     message.repeatSafe = call.workClass->repeat == RepeatSafety::Idempotent;
     return true;
 }
 
-Road::Step Road::identify(RoadCall &call, const HttpRequest &request) const
+CallHandler::Step CallHandler::identify(CallState &call, const HttpRequest &request) const
 {
-    const auto step = call.door == Door::Outside ? identifyOutside(call, request)
-                                                 : identifyInside(call, request);
+    const auto step = call.origin == CallOrigin::External ? identifyExternalCall(call, request)
+                                                          : identifyLocalServerCall(call, request);
     if (!step) {
         return step.error();
     }
-    call.message.digest = internal::digestOf(call.message.account, request);
+    call.message.digest = internal::requestDigest(call.message.account, request);
     const bool quarantined = m_settings.mechanisms.quarantine
             && call.fleet->quarantined.count(call.message.digest) > 0;
     return quarantined ? Step{internal::notRun(Reason::Quarantined)} : Step{true};
 }
 
-Road::Step Road::identifyOutside(RoadCall &call, const HttpRequest &request) const
+CallHandler::Step CallHandler::identifyExternalCall(CallState &call,
+                                                    const HttpRequest &request) const
 {
     if (call.route->access == RouteAccess::Internal) {
         return internal::notRun(Reason::Forbidden);
@@ -241,8 +245,8 @@
         return internal::notRun(Reason::BadKey);
     }
     const auto limit = call.workClass->keyFreshness;
-    const bool isStale = limit.count() > 0 && m_around.confirmedAgo(call.startedAt) > limit;
-    if (isStale || m_around.doubtsKeys(call.startedAt)) {
+    const bool isStale = limit.count() > 0 && m_nodeStatus.confirmedAgo(call.startedAt) > limit;
+    if (isStale || m_nodeStatus.doubtsKeys(call.startedAt)) {
         return internal::notRun(Reason::KeysStale);
     }
     call.message.account = call.account->name;
@@ -250,14 +254,15 @@
     return true;
 }
 
-Road::Step Road::identifyInside(RoadCall &call, const HttpRequest &request) const
+CallHandler::Step CallHandler::identifyLocalServerCall(CallState &call,
+                                                       const HttpRequest &request) const
 {
     const auto token = request.header(kContextHeader);
     const auto context = m_contexts.find(token);
     if (!context) {
         return internal::notRun(token.empty() ? Reason::NoKey : Reason::BadKey);
     }
-    if (context->depth + 1 >= internal::kMaxDepth) {
+    if (context->depth + 1 >= internal::kMaxCallDepth) {
         return internal::notRun(Reason::TooDeep);
     }
     call.contextToken = token;
@@ -273,20 +278,20 @@
     return revoked ? Step{internal::notRun(Reason::BadKey)} : Step{true};
 }
 
-Road::Step Road::admit(RoadCall &call)
+CallHandler::Step CallHandler::admit(CallState &call)
 {
     if (call.deadline <= Clock::now()) {
         return internal::notRun(Reason::TooLate);
     }
-    const bool charged
-            = m_settings.mechanisms.rates && call.door == Door::Outside && call.account != nullptr;
-    if (charged && !m_accounts.admit(*call.account, call.deadline)) {
+    const bool charged = m_settings.mechanisms.rates && call.origin == CallOrigin::External
+            && call.account != nullptr;
+    if (charged && !m_admission.admit(*call.account, call.deadline)) {
         return internal::notRun(Reason::RateExceeded);
     }
     return true;
 }
 
-Result<std::optional<AnswerMessage>, Ending> Road::reserve(RoadCall &call)
+Result<std::optional<AnswerMessage>, CallFailure> CallHandler::reserve(CallState &call)
 {
     if (!m_settings.mechanisms.ledger || call.message.repeatSafe || call.idempotencyKey.empty()) {
         return std::optional<AnswerMessage>{};
@@ -303,7 +308,7 @@
     release.record.attempt = call.message.request;
     release.release = true;
     for (const auto &home : reservation.homes()) {
-        m_post.post(home, release);
+        m_sender.post(home, release);
     }
     if (state == ReservationState::Mismatch) {
         return internal::notRun(Reason::KeyReused);
@@ -313,7 +318,7 @@
     }
     const auto &holder = *reservation.holder();
     if (holder.state != RecordState::Done || holder.status == 0) {
-        return Ending{Outcome::Unknown, Reason::InProgress};
+        return CallFailure{Outcome::Unknown, Reason::InProgress};
     }
     AnswerMessage replay;
     replay.request = holder.attempt;
@@ -325,13 +330,13 @@
     return std::optional{std::move(replay)};
 }
 
-ReservationState Road::collectVotes(const RoadCall &call, Reservation &reservation)
+ReservationState CallHandler::collectVotes(const CallState &call, Reservation &reservation)
 {
     auto ticket = m_votes.open();
     const auto key = call.message.account + "/" + call.idempotencyKey;
     for (const auto &home : reservation.homes()) {
         const ReserveMessage message{ticket.id(), key, call.message.digest, call.message.request};
-        if (m_post.post(home, message, tokenFor(TokenKind::Vote, ticket.id())) == 0) {
+        if (m_sender.post(home, message, tokenFor(TokenKind::Vote, ticket.id())) == 0) {
             reservation.onUnreachable(home);
         }
     }
@@ -354,11 +359,11 @@
     return reservation.holder() ? ReservationState::Held : ReservationState::Failed;
 }
 
-Result<AnswerMessage, Ending> Road::deliver(RoadCall &call)
+Result<AnswerMessage, CallFailure> CallHandler::deliver(CallState &call)
 {
     internal::DeliveryResult best;
     std::vector<std::string> tried;
-    m_routing.onFirstAttempt(call.message.service);
+    m_router.onFirstAttempt(call.message.service);
     for (int i = 0; i < internal::kMaxAttempts; ++i) {
         const auto now = Clock::now();
         if (now >= call.deadline) {
@@ -367,9 +372,9 @@
         }
         call.message.mayQueue = i >= internal::kAttemptsBeforeQueueing;
         if (call.message.mayQueue) {
-            tried.clear(); // those that were busy may keep it now
+            tried.clear(); // servers that were busy may queue the call now
         }
-        auto server = m_routing.pick(*call.snapshot, *call.fleet, call.message.service, tried, now);
+        auto server = m_router.pick(*call.snapshot, *call.fleet, call.message.service, tried, now);
         if (server.empty() && !tried.empty() && !call.message.mayQueue) {
             i = internal::kAttemptsBeforeQueueing - 1;
             continue;
@@ -379,7 +384,7 @@
         }
         call.message.retry = i > 0;
         auto answer = attempt(call, server);
-        const bool again = mayTryAgain(call, answer);
+        const bool again = shouldRetry(call, answer);
         best.note(std::move(answer));
         if (!again) {
             break;
@@ -390,42 +395,44 @@
     return best.take();
 }
 
-AnswerMessage Road::attempt(RoadCall &call, const std::string &server)
+AnswerMessage CallHandler::attempt(CallState &call, const std::string &server)
 {
     auto ticket = m_calls.open();
     auto &message = call.message;
     message.id = ticket.id();
     const auto left = millisBetween(Clock::now(), call.deadline).count();
     message.remainingMs = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left));
-    const auto link = m_post.post(server, message, tokenFor(TokenKind::Call, message.id));
+    const auto link = m_sender.post(server, message, tokenFor(TokenKind::Call, message.id));
     if (link == 0) {
-        m_routing.onSilence(server, Clock::now());
+        m_router.onNoAnswer(server, Clock::now());
         return internal::failedAnswer(message, Outcome::NotRun, Reason::Unreachable);
     }
     ticket.tag(link);
     auto answer = ticket.wait(call.deadline);
     if (!answer) {
-        m_post.post(server, CancelMessage{message.id});
-        answer = ticket.wait(Clock::now() + internal::kLastWord);
+        m_sender.post(server, CancelMessage{message.id});
+        answer = ticket.wait(Clock::now() + internal::kCancelGracePeriod);
     }
     const auto now = Clock::now();
     if (!answer) {
-        m_routing.onSilence(server, now);
+        m_router.onNoAnswer(server, now);
         return internal::failedAnswer(message, Outcome::Unknown, Reason::NoAnswer);
     }
-    const bool isOwn = answer->request.empty(); // made here; peers' answers always name a request
+    const bool isOwn
+            = answer->request
+                      .empty(); // created by this node; answers from peers always have a request ID
     const bool whole = answer->request == message.request
             && answer->bodyHash == stableHash(answer->body.data);
     if (!isOwn && !whole) {
         m_crossed.add();
-        m_routing.onSilence(server, now);
+        m_router.onNoAnswer(server, now);
         return internal::failedAnswer(message, Outcome::Unknown, Reason::BadAnswer);
     }
-    m_routing.onAnswer(server, *answer, now);
+    m_router.onAnswer(server, *answer, now);
     return std::move(*answer);
 }
 
-bool Road::mayTryAgain(RoadCall &call, const AnswerMessage &answer)
+bool CallHandler::shouldRetry(CallState &call, const AnswerMessage &answer)
 {
     if (answer.outcome == Outcome::NotRun) {
         return reasonInfo(answer.reason).retryable;
@@ -436,28 +443,29 @@
     if (!failed) {
         return false;
     }
-    const bool below = internal::hasRetriedMark(answer);
+    const bool retriedDownstream = internal::hasRetriedHeader(answer);
     if (!m_settings.mechanisms.retryBudget) {
         return call.message.repeatSafe && Clock::now() < call.deadline;
     }
-    const bool dealtWith = std::exchange(call.retried, true);
-    if (dealtWith || below || !call.message.repeatSafe || Clock::now() >= call.deadline) {
+    const bool alreadyFailed = std::exchange(call.retried, true);
+    if (alreadyFailed || retriedDownstream || !call.message.repeatSafe
+        || Clock::now() >= call.deadline) {
         return false;
     }
     const auto fleet = m_fleet.get();
     const bool isSuspect
             = answer.reason == Reason::ServerLost || fleet->suspect.count(call.message.digest) > 0;
-    if (isSuspect || !m_routing.mayRepeat(call.message.service)) {
+    if (isSuspect || !m_router.tryConsumeRetry(call.message.service)) {
         return false;
     }
     m_retries.add();
     return true;
 }
 
-void Road::settle(const RoadCall &call, const Result<AnswerMessage, Ending> &result)
+void CallHandler::settle(const CallState &call, const Result<AnswerMessage, CallFailure> &result)
 {
     const bool failed = !result || result.value().status >= internal::kHttpBadGateway;
-    if (call.door == Door::Inside && failed) {
+    if (call.origin == CallOrigin::LocalServer && failed) {
         m_contexts.noteFailure(call.contextToken);
     }
     if (call.ledgerHomes.empty()) {
@@ -478,17 +486,18 @@
     } else if (result.error().outcome == Outcome::NotRun) {
         complete.release = true;
     } else {
-        return; // the reservation stays: the call may have run
+        return; // keeps the reservation, since the call may have run
     }
     for (const auto &home : call.ledgerHomes) {
-        m_post.post(home, complete);
+        m_sender.post(home, complete);
     }
 }
 
-HttpResponse Road::answer(const RoadCall &call, const Result<AnswerMessage, Ending> &result)
+HttpResponse CallHandler::makeResponse(const CallState &call,
+                                       const Result<AnswerMessage, CallFailure> &result)
 {
     if (!result) {
-        return ownAnswer(call, result.error());
+        return failureResponse(call, result.error());
     }
     m_answered.add();
     const auto &answer = result.value();
@@ -505,7 +514,7 @@
     return response;
 }
 
-HttpResponse Road::ownAnswer(const RoadCall &call, const Ending &ending)
+HttpResponse CallHandler::failureResponse(const CallState &call, const CallFailure &ending)
 {
     const auto &info = reasonInfo(ending.reason);
     const std::string outcome{outcomeText(ending.outcome)};
@@ -521,29 +530,29 @@
     return response;
 }
 
-void Road::onAnswer(AnswerMessage answer)
+void CallHandler::onAnswer(AnswerMessage answer)
 {
     const auto id = answer.id;
     m_calls.complete(id, std::move(answer));
 }
 
-void Road::onVote(VoteMessage vote)
+void CallHandler::onVote(VoteMessage vote)
 {
     const auto id = vote.id;
     m_votes.complete(id, std::move(vote));
 }
 
-void Road::onCallUnsent(std::uint64_t id)
+void CallHandler::onCallUnsent(std::uint64_t id)
 {
     m_calls.complete(id, internal::failedAnswer({}, Outcome::NotRun, Reason::Unreachable));
 }
 
-void Road::onVoteUnsent(std::uint64_t id, const std::string &home)
+void CallHandler::onVoteUnsent(std::uint64_t id, const std::string &home)
 {
     m_votes.complete(id, VoteMessage{0, home, Vote::Abstained, {}});
 }
 
-void Road::onLinkLost(LinkId link)
+void CallHandler::onLinkLost(LinkId link)
 {
     m_calls.completeTagged(link, internal::failedAnswer({}, Outcome::Unknown, Reason::PeerLost));
 }
--- a/src/celeryramp/node/control_event.h
+++ b/src/celeryramp/node/control_event.h
@@ -12,14 +12,14 @@
 
 namespace celeryramp {
 
-/*! @brief A control message of a peer. */
+/*! @brief A control message from a peer. */
 struct PeerMessageEvent
 {
     std::string from;
     Message message;
 };
 
-/*! @brief A peer introduced itself. */
+/*! @brief A peer connected and identified itself. */
 struct PeerUpEvent
 {
     std::string name;
@@ -32,7 +32,7 @@
     bool refused = false;
 };
 
-/*! @brief The platform delivered a whole configuration. */
+/*! @brief A complete configuration was read from the platform. */
 struct PlatformDocumentEvent
 {
     ConfigDocument document;
@@ -49,18 +49,18 @@
     InstanceList list;
 };
 
-/*! @brief This node learned facts for all. */
+/*! @brief This node has rumours to publish to all nodes. */
 struct PublishEvent
 {
     std::vector<Rumour> rumours;
 };
 
-/*! @brief This node is to announce that it leaves. */
+/*! @brief This node starts to leave and must announce it. */
 struct LeaveEvent
 {
 };
 
-/*! @brief Anything the control duty handles. */
+/*! @brief Any event handled by the control service. */
 using ControlEvent
         = std::variant<PeerMessageEvent, PeerUpEvent, PeerLostEvent, PlatformDocumentEvent,
                        PlatformConfirmedEvent, InstanceListEvent, PublishEvent, LeaveEvent>;
--- a/src/celeryramp/node/control_duty.cpp
+++ b/src/celeryramp/node/control_service.cpp
@@ -1,4 +1,4 @@
-#include "node/control_duty.h"
+#include "node/control_service.h"
 
 #include <algorithm>
 
@@ -13,26 +13,28 @@
 
 constexpr std::size_t kControlRing = 8192;
 constexpr Millis kTick{100};
-constexpr Millis kPeersHeardFirst{2000};
-constexpr Millis kSearchInterval{250};
-constexpr Millis kRumourLife{600'000};
+constexpr Millis kPeerWaitAtStart{2000};
+constexpr Millis kBootstrapPullInterval{250};
+constexpr Millis kRumourLifetime{600'000};
 constexpr std::size_t kObservers = 3;
-constexpr std::uint64_t kHeartbeatsPerFarOne = 3; /*!< Other zones get every third. */
+constexpr std::uint64_t kHeartbeatsPerCrossZone
+        = 3; /*!< Every third heartbeat also goes to other zones. */
 constexpr std::size_t kPeersAskedAtStart = 3;
 constexpr std::size_t kPeersKnownAtStart = 8;
-constexpr std::size_t kDigestShown = 12;
+constexpr std::size_t kLoggedDigestLength = 12;
 
 [[nodiscard]] Rumour rumour(RumourKind kind, std::string subject, std::uint64_t sequence)
 {
-    return {kind, std::move(subject), sequence, static_cast<std::uint32_t>(kRumourLife.count())};
+    return {kind, std::move(subject), sequence,
+            static_cast<std::uint32_t>(kRumourLifetime.count())};
 }
 
 } // namespace internal
 
-ControlDuty::ControlDuty(const NodeSettings &settings, std::uint64_t incarnation,
-                         Cell<Snapshot> &snapshot, Cell<FleetView> &fleet, PostOffice &post,
-                         ControlHooks &hooks, MetricsRegistry &metrics)
-    : m_settings{settings}, m_snapshot{snapshot}, m_fleet{fleet}, m_post{post}, m_hooks{hooks},
+ControlService::ControlService(const NodeSettings &settings, std::uint64_t incarnation,
+                               SharedValue<Snapshot> &snapshot, SharedValue<FleetView> &fleet,
+                               MessageSender &sender, ControlHooks &hooks, MetricsRegistry &metrics)
+    : m_settings{settings}, m_snapshot{snapshot}, m_fleet{fleet}, m_sender{sender}, m_hooks{hooks},
       m_ring{internal::kControlRing}, m_pauses{metrics.counter("pauses_total")},
       m_suspicions{metrics.counter("suspicions_total")}, m_distributor{settings.server,
                                                                        settings.zone, incarnation},
@@ -42,19 +44,19 @@
     metrics.gauge("control_ring_refused", [this] { return double(m_ring.refused()); });
 }
 
-ControlDuty::~ControlDuty()
+ControlService::~ControlService()
 {
     stop();
 }
 
-void ControlDuty::start()
+void ControlService::start()
 {
     m_startedAt = Clock::now();
     m_lastTick = m_startedAt;
     m_thread = std::thread{[this] { loop(); }};
 }
 
-void ControlDuty::stop()
+void ControlService::stop()
 {
     m_stopping = true;
     m_ring.close();
@@ -63,25 +65,25 @@
     }
 }
 
-bool ControlDuty::push(ControlEvent event)
+bool ControlService::push(ControlEvent event)
 {
     return m_ring.push(std::move(event));
 }
 
-ConfigStamp ControlDuty::stamp() const
+ConfigStamp ControlService::stamp() const
 {
     const std::lock_guard lock{m_mutex};
     return m_distributor.acceptance().stamp();
 }
 
-bool ControlDuty::isWanted(const ConfigStamp &stamp) const
+bool ControlService::isWanted(const ConfigStamp &stamp) const
 {
     const std::lock_guard lock{m_mutex};
     const auto &acceptance = m_distributor.acceptance();
     return acceptance.isNewer(stamp) && !acceptance.wasRejected(stamp);
 }
 
-void ControlDuty::onDocument(ConfigDocument document)
+void ControlService::onDocument(ConfigDocument document)
 {
     const auto version = document.manifest.version;
     if (!push(PlatformDocumentEvent{std::move(document)})) {
@@ -90,25 +92,25 @@
     }
 }
 
-ConfigDocument ControlDuty::document() const
+ConfigDocument ControlService::document() const
 {
     const std::lock_guard lock{m_mutex};
     return m_distributor.acceptance().document();
 }
 
-Millis ControlDuty::confirmedAgo(TimePoint now) const
+Millis ControlService::confirmedAgo(TimePoint now) const
 {
     const std::lock_guard lock{m_mutex};
     return m_distributor.confirmedAgo(now);
 }
 
-bool ControlDuty::doubtsKeys(TimePoint now) const
+bool ControlService::doubtsKeys(TimePoint now) const
 {
     const std::lock_guard lock{m_mutex};
     return m_wakeGuard.doubtsKeys(now);
 }
 
-void ControlDuty::loop()
+void ControlService::loop()
 {
     while (!m_stopping) {
         const auto event = m_ring.pop(internal::kTick);
@@ -130,13 +132,13 @@
     }
 }
 
-void ControlDuty::handle(const ControlEvent &event, TimePoint now)
+void ControlService::handle(const ControlEvent &event, TimePoint now)
 {
     std::visit([&](const auto &typed) { handle(typed, now); }, event);
     publishFleet();
 }
 
-void ControlDuty::handle(const PeerMessageEvent &event, TimePoint now)
+void ControlService::handle(const PeerMessageEvent &event, TimePoint now)
 {
     if (const auto *heartbeat = std::get_if<HeartbeatMessage>(&event.message)) {
         onHeartbeat(*heartbeat, now);
@@ -158,7 +160,7 @@
     }
 }
 
-void ControlDuty::handle(const PeerUpEvent &event, TimePoint now)
+void ControlService::handle(const PeerUpEvent &event, TimePoint now)
 {
     if (!m_distributor.acceptance().inForce()
         && m_knownPeers.size() < internal::kPeersKnownAtStart) {
@@ -171,13 +173,13 @@
     }
 }
 
-void ControlDuty::handle(const PeerLostEvent &event, TimePoint /*now*/)
+void ControlService::handle(const PeerLostEvent &event, TimePoint /*now*/)
 {
     if (event.refused) {
         m_detector.refused(event.name);
         return;
     }
-    // Whoever closed: a heartbeat out of turn finds out whether somebody still listens there.
+    // Either side may have closed. An immediate heartbeat checks whether the peer still listens.
     const auto observers
             = m_distributor.topology().successors(event.name, internal::kObservers, usable());
     if (std::find(observers.begin(), observers.end(), m_settings.server) != observers.end()) {
@@ -189,10 +191,11 @@
     }
 }
 
-void ControlDuty::handle(const PlatformDocumentEvent &event, TimePoint now)
+void ControlService::handle(const PlatformDocumentEvent &event, TimePoint now)
 {
-    if (mustHearPeers(now)) {
-        m_heldDocument = event.document; // the platform may be stale: peers may know better
+    if (mustWaitForPeers(now)) {
+        m_deferredDocument
+                = event.document; // the platform may be stale, and peers may have a newer version
         return;
     }
     if (m_distributor.onPlatformDocument(event.document, usable(), now, m_out)) {
@@ -200,12 +203,12 @@
     }
 }
 
-void ControlDuty::handle(const PlatformConfirmedEvent & /*event*/, TimePoint now)
+void ControlService::handle(const PlatformConfirmedEvent & /*event*/, TimePoint now)
 {
     m_distributor.onPlatformConfirmed(now);
 }
 
-void ControlDuty::handle(const InstanceListEvent &event, TimePoint now)
+void ControlService::handle(const InstanceListEvent &event, TimePoint now)
 {
     if (event.list.index < m_listIndex || !m_distributor.acceptance().inForce()) {
         return;
@@ -225,23 +228,23 @@
     publishRumours(rumours, now);
 }
 
-void ControlDuty::handle(const PublishEvent &event, TimePoint now)
+void ControlService::handle(const PublishEvent &event, TimePoint now)
 {
     publishRumours(event.rumours, now);
 }
 
-void ControlDuty::handle(const LeaveEvent & /*event*/, TimePoint now)
+void ControlService::handle(const LeaveEvent & /*event*/, TimePoint now)
 {
     m_leaving = true;
     publishRumours({internal::rumour(RumourKind::Leaving, m_settings.server, m_incarnation)}, now);
     logEvent(LogLevel::Info, "control", "leaving", {{"server", m_settings.server}});
 }
 
-void ControlDuty::onHeartbeat(const HeartbeatMessage &message, TimePoint now)
+void ControlService::onHeartbeat(const HeartbeatMessage &message, TimePoint now)
 {
     if (const auto newest = m_detector.incarnationOf(message.server);
         message.incarnation < newest) {
-        // A predecessor that woke up late: it is to learn that its slot is taken.
+        // A paused predecessor has resumed. Tells it that a newer incarnation has its slot.
         m_out.send(message.server,
                    RumourMessage{{internal::rumour(RumourKind::Alive, message.server, newest)},
                                  {},
@@ -253,17 +256,17 @@
     m_rumours.onHeartbeat(message, now, m_out);
 }
 
-bool ControlDuty::mustHearPeers(TimePoint now) const
+bool ControlService::mustWaitForPeers(TimePoint now) const
 {
     return !m_distributor.acceptance().inForce() && !m_peerAnswered && !m_settings.seeds.empty()
-            && now - m_startedAt < internal::kPeersHeardFirst;
+            && now - m_startedAt < internal::kPeerWaitAtStart;
 }
 
-void ControlDuty::tick(TimePoint now)
+void ControlService::tick(TimePoint now)
 {
     m_lastTick = now;
-    if (m_heldDocument && !mustHearPeers(now)) {
-        handle(PlatformDocumentEvent{*std::exchange(m_heldDocument, std::nullopt)}, now);
+    if (m_deferredDocument && !mustWaitForPeers(now)) {
+        handle(PlatformDocumentEvent{*std::exchange(m_deferredDocument, std::nullopt)}, now);
     }
     m_rumours.tick(now);
     const auto role = readerRole();
@@ -273,9 +276,9 @@
     }
     m_distributor.tick(role, usable(), now, m_out);
     if (!m_distributor.acceptance().inForce()) {
-        if (now - m_lastSearch >= internal::kSearchInterval) {
-            m_lastSearch = now;
-            search(now);
+        if (now - m_lastBootstrapPull >= internal::kBootstrapPullInterval) {
+            m_lastBootstrapPull = now;
+            pullFromKnownPeer(now);
         }
         return;
     }
@@ -283,20 +286,20 @@
         m_lastHeartbeat = now;
         sendHeartbeats(now);
     }
-    reportMissing(now);
+    publishSuspicions(now);
     publishFleet();
     logRejections();
 }
 
-void ControlDuty::search(TimePoint now)
+void ControlService::pullFromKnownPeer(TimePoint now)
 {
-    m_hooks.onStillEmpty();
+    m_hooks.onNoConfiguration();
     if (!m_knownPeers.empty()) {
-        m_distributor.pullFrom(m_knownPeers[m_searches++ % m_knownPeers.size()], now, m_out);
+        m_distributor.pullFrom(m_knownPeers[m_bootstrapPulls++ % m_knownPeers.size()], now, m_out);
     }
 }
 
-void ControlDuty::sendHeartbeats(TimePoint /*now*/)
+void ControlService::sendHeartbeats(TimePoint /*now*/)
 {
     const auto &stamp = m_distributor.acceptance().stamp();
     const HeartbeatMessage heartbeat{m_settings.server, m_incarnation, stamp.version, stamp.digest,
@@ -306,8 +309,8 @@
          topology.successors(m_settings.server, internal::kObservers, usable())) {
         m_out.send(next, heartbeat);
     }
-    const bool farther = ++m_heartbeats % internal::kHeartbeatsPerFarOne == 0;
-    if (m_role != ReaderRole::First || !farther) {
+    const bool sendsCrossZone = ++m_heartbeats % internal::kHeartbeatsPerCrossZone == 0;
+    if (m_role != ReaderRole::First || !sendsCrossZone) {
         return;
     }
     for (const auto &zone : topology.zones()) {
@@ -318,14 +321,14 @@
     }
 }
 
-void ControlDuty::reportMissing(TimePoint now)
+void ControlService::publishSuspicions(TimePoint now)
 {
     std::vector<Rumour> rumours;
     for (const auto &missing : m_detector.poll(now)) {
         const auto observers = m_distributor.topology().successors(missing.server,
                                                                    internal::kObservers, usable());
         if (std::find(observers.begin(), observers.end(), m_settings.server) == observers.end()) {
-            m_detector.forget(missing.server); // it reports to others now
+            m_detector.forget(missing.server); // this node no longer observes it
             continue;
         }
         m_suspicions.add();
@@ -337,7 +340,7 @@
     publishRumours(rumours, now);
 }
 
-void ControlDuty::refuteSuspicions(TimePoint now)
+void ControlService::refuteSuspicions(TimePoint now)
 {
     const auto known = m_view.incarnation(m_settings.server);
     if (known > m_incarnation) {
@@ -356,31 +359,31 @@
         highest = std::max(highest, sequence);
     }
     if (highest == 0 || known > highest) {
-        return; // nobody holds anything against this incarnation
+        return; // no suspicion applies to this incarnation
     }
     m_incarnation = std::max(m_incarnation, highest + 1);
     publishRumours({internal::rumour(RumourKind::Alive, m_settings.server, m_incarnation)}, now);
 }
 
-void ControlDuty::publishRumours(const std::vector<Rumour> &rumours, TimePoint now)
+void ControlService::publishRumours(const std::vector<Rumour> &rumours, TimePoint now)
 {
     if (!rumours.empty()) {
         m_rumours.publish(rumours, m_distributor.topology(), usable(), now, m_out);
     }
 }
 
-void ControlDuty::adoptSnapshot(TimePoint now)
+void ControlService::adoptSnapshot(TimePoint now)
 {
     const auto snapshot = m_distributor.acceptance().inForce();
     m_hooks.onSnapshot(snapshot, now);
     m_snapshot.set(snapshot);
-    m_inForceWall = std::chrono::system_clock::now();
+    m_inForceSince = std::chrono::system_clock::now();
     logEvent(LogLevel::Info, "control", "config-in-force",
              {{"version", std::to_string(snapshot->stamp().version)},
-              {"digest", snapshot->stamp().digest.substr(0, internal::kDigestShown)}});
+              {"digest", snapshot->stamp().digest.substr(0, internal::kLoggedDigestLength)}});
 }
 
-void ControlDuty::publishFleet()
+void ControlService::publishFleet()
 {
     const auto &store = m_rumours.store();
     if (store.digest() == m_fleetDigest && m_fleet.get()->superseded == m_superseded) {
@@ -408,7 +411,7 @@
     m_fleet.set(std::move(fleet));
 }
 
-void ControlDuty::notePause(Millis pause, TimePoint now)
+void ControlService::notePause(Millis pause, TimePoint now)
 {
     m_pauses.add();
     m_detector.forgive(now);
@@ -417,14 +420,14 @@
     m_lastTick = now;
 }
 
-void ControlDuty::flush()
+void ControlService::flush()
 {
     for (auto &[server, message] : m_out.take()) {
-        m_post.post(server, std::move(message));
+        m_sender.post(server, std::move(message));
     }
 }
 
-void ControlDuty::logRejections()
+void ControlService::logRejections()
 {
     const auto &rejections = m_distributor.acceptance().rejections();
     const auto total = m_distributor.counters().rejected;
@@ -437,12 +440,12 @@
              {{"version", std::to_string(last.stamp.version)}, {"reason", last.error.text()}});
 }
 
-IsUsable ControlDuty::usable() const
+IsUsable ControlService::usable() const
 {
     return [this](const std::string &server) { return !m_view.isDown(server); };
 }
 
-ReaderRole ControlDuty::readerRole() const
+ReaderRole ControlService::readerRole() const
 {
     if (m_settings.distribution == DistributionMode::Watch) {
         return m_distributor.acceptance().inForce() ? ReaderRole::Reader : ReaderRole::None;
@@ -455,7 +458,7 @@
     return it == readers.begin() ? ReaderRole::First : ReaderRole::Reader;
 }
 
-nlohmann::json ControlDuty::state(TimePoint now) const
+nlohmann::json ControlService::state(TimePoint now) const
 {
     const std::lock_guard lock{m_mutex};
     const auto &acceptance = m_distributor.acceptance();
@@ -485,7 +488,7 @@
               {"digest", acceptance.stamp().digest},
               {"confirmed_ago_ms", confirmed},
               {"in_force_since_unix_ms",
-               std::chrono::duration_cast<Millis>(m_inForceWall.time_since_epoch()).count()},
+               std::chrono::duration_cast<Millis>(m_inForceSince.time_since_epoch()).count()},
               {"in_force_ms",
                acceptance.inForce() ? millisBetween(acceptance.acceptedAt(), now).count() : 0},
               {"rejections", rejections}}},
--- a/src/celeryramp/node/control_duty.h
+++ b/src/celeryramp/node/control_service.h
@@ -14,77 +14,78 @@
 #include "distribution/wake_guard.h"
 #include "membership/failure_detector.h"
 #include "membership/membership_view.h"
-#include "node/cell.h"
 #include "node/control_event.h"
 #include "node/document_target.h"
 #include "node/fleet_view.h"
+#include "node/message_sender.h"
 #include "node/node_settings.h"
-#include "node/post_office.h"
+#include "node/shared_value.h"
 #include "observe/metrics_registry.h"
 
 namespace celeryramp {
 
-/*! @brief What the control duty asks of its surroundings. */
+/*! @brief Callbacks of the control service. */
 class ControlHooks
 {
 public:
     virtual ~ControlHooks() = default;
 
-    /*! @brief A configuration came in force. */
+    /*! @brief Called when a new configuration takes effect. */
     virtual void onSnapshot(SnapshotPtr snapshot, TimePoint now) = 0;
 
-    /*! @brief Whether this node is to read the platform as one of its zone's readers. */
+    /*! @brief Called when this node becomes or ceases to be a platform reader of its zone. */
     virtual void onReaderChanged(bool isReader) = 0;
 
-    /*! @brief The process was paused and has woken up. */
+    /*! @brief Called when the process resumes after a pause. */
     virtual void onPaused(Millis pause, TimePoint now) = 0;
 
-    /*! @brief Nothing is known yet: look for peers. */
-    virtual void onStillEmpty() = 0;
+    /*! @brief Called repeatedly until a configuration is in force; connects to peers. */
+    virtual void onNoConfiguration() = 0;
 };
 
 /*!
- * @brief The duty that owns configuration, membership and small facts.
- * Its ring is bounded; what finds it full is dropped, counted and repaired by later heartbeats.
+ * @brief Manages configuration, membership and rumours on a thread of its own.
+ * Its event queue is bounded. Events that do not fit are dropped and counted; later heartbeats
+ * repair the loss.
  */
-class ControlDuty final : public DocumentTarget
+class ControlService final : public DocumentTarget
 {
 public:
-    ControlDuty(const NodeSettings &settings, std::uint64_t incarnation, Cell<Snapshot> &snapshot,
-                Cell<FleetView> &fleet, PostOffice &post, ControlHooks &hooks,
-                MetricsRegistry &metrics);
-    ~ControlDuty() override;
-    ControlDuty(const ControlDuty &) = delete;
-    ControlDuty &operator=(const ControlDuty &) = delete;
+    ControlService(const NodeSettings &settings, std::uint64_t incarnation,
+                   SharedValue<Snapshot> &snapshot, SharedValue<FleetView> &fleet,
+                   MessageSender &sender, ControlHooks &hooks, MetricsRegistry &metrics);
+    ~ControlService() override;
+    ControlService(const ControlService &) = delete;
+    ControlService &operator=(const ControlService &) = delete;
 
     void start();
     void stop();
 
-    /*! @brief Hands an event over. @return False when the ring is full. */
+    /*! @brief Queues an event. @return False when the ring is full. */
     bool push(ControlEvent event);
 
-    /*! @return Stamp in force, for the duty that reads the platform. */
+    /*! @return Stamp of the configuration in force. */
     [[nodiscard]] ConfigStamp stamp() const;
 
     /*! @return True when a platform document with this stamp is worth fetching. */
     [[nodiscard]] bool isWanted(const ConfigStamp &stamp) const override;
 
-    /*! @return Document in force, so that unchanged parts need no reading. */
+    /*! @return Document in force. Its unchanged parts need not be read again. */
     [[nodiscard]] ConfigDocument document() const override;
 
-    /*! @brief The platform publishes this document. */
+    /*! @brief Queues a document read from the platform. */
     void onDocument(ConfigDocument document) override;
 
-    /*! @return True when a peer told this incarnation what it has in force. */
+    /*! @return True once a peer has sent its configuration to this process. */
     [[nodiscard]] bool hasPeerAnswered() const noexcept { return m_peerAnswered; }
 
-    /*! @return Age of the last confirmation by the platform. */
+    /*! @return Time since the platform last confirmed the configuration. */
     [[nodiscard]] Millis confirmedAgo(TimePoint now) const;
 
-    /*! @return True after a pause of this process, until the configuration is confirmed. */
+    /*! @return True after the process was paused, until the configuration is confirmed again. */
     [[nodiscard]] bool doubtsKeys(TimePoint now) const;
 
-    /*! @return State for operators. */
+    /*! @return State for the operator port. */
     [[nodiscard]] nlohmann::json state(TimePoint now) const;
 
 private:
@@ -100,10 +101,10 @@
     void handle(const LeaveEvent &event, TimePoint now);
     void onHeartbeat(const HeartbeatMessage &message, TimePoint now);
     void tick(TimePoint now);
-    void search(TimePoint now);
-    [[nodiscard]] bool mustHearPeers(TimePoint now) const;
+    void pullFromKnownPeer(TimePoint now);
+    [[nodiscard]] bool mustWaitForPeers(TimePoint now) const;
     void sendHeartbeats(TimePoint now);
-    void reportMissing(TimePoint now);
+    void publishSuspicions(TimePoint now);
     void refuteSuspicions(TimePoint now);
     void publishRumours(const std::vector<Rumour> &rumours, TimePoint now);
     void adoptSnapshot(TimePoint now);
@@ -115,14 +116,15 @@
     [[nodiscard]] ReaderRole readerRole() const;
 
     const NodeSettings &m_settings;
-    Cell<Snapshot> &m_snapshot;
-    Cell<FleetView> &m_fleet;
-    PostOffice &m_post;
+    SharedValue<Snapshot> &m_snapshot;
+    SharedValue<FleetView> &m_fleet;
+    MessageSender &m_sender;
     ControlHooks &m_hooks;
     BoundedRing<ControlEvent> m_ring;
     Counter &m_pauses;
     Counter &m_suspicions;
-    mutable std::mutex m_mutex; /*!< Guards what operators and the platform duty look at. */
+    mutable std::mutex
+            m_mutex; /*!< Guards the state read by the operator port and the platform reader. */
     Distributor m_distributor;
     RumourMill m_rumours;
     MembershipView m_view;
@@ -132,21 +134,24 @@
     std::uint64_t m_listIndex = 0;
     std::uint64_t m_fleetDigest = 0;
     std::uint64_t m_loggedRejections = 0;
-    std::vector<std::string> m_knownPeers; /*!< To ask again while nothing is known. */
-    std::size_t m_searches = 0;
+    std::vector<std::string>
+            m_knownPeers; /*!< Peers to pull from until a configuration is in force. */
+    std::size_t m_bootstrapPulls = 0;
     std::size_t m_peersAsked = 0;
     std::atomic<bool> m_peerAnswered{false};
     bool m_leaving = false;
     bool m_superseded = false;
     ReaderRole m_role = ReaderRole::None;
     std::uint64_t m_heartbeats = 0;
-    std::chrono::system_clock::time_point m_inForceWall; /*!< For operators only. */
-    std::optional<ConfigDocument> m_heldDocument; /*!< Of the platform, until peers are heard. */
+    std::chrono::system_clock::time_point
+            m_inForceSince; /*!< Wall clock, for the operator port only. */
+    std::optional<ConfigDocument>
+            m_deferredDocument; /*!< Platform document deferred until peers have answered. */
     TimePoint m_startedAt;
     TimePoint m_lastTick;
     WakeGuard m_wakeGuard;
     TimePoint m_lastHeartbeat;
-    TimePoint m_lastSearch;
+    TimePoint m_lastBootstrapPull;
     std::atomic<bool> m_stopping{false};
     std::thread m_thread;
 };
--- a/src/celeryramp/node/document_fetcher.cpp
+++ b/src/celeryramp/node/document_fetcher.cpp
@@ -8,12 +8,12 @@
 
 namespace internal {
 
-/*! First and longest pause after a part that could not be read; drawn evenly below it. */
-constexpr Millis kFirstPause{250};
-constexpr Millis kLongestPause{10'000};
-constexpr int kMostDoublings = 6;
-/*! Sleep without work; ended early by `want`. */
-constexpr Millis kIdle{60'000};
+/*! Initial and maximum backoff after a failed read. The pause is uniformly random below it. */
+constexpr Millis kInitialBackoff{250};
+constexpr Millis kMaxBackoff{10'000};
+constexpr int kMaxBackoffDoublings = 6;
+/*! Sleep when there is nothing to read; `want` ends it early. */
+constexpr Millis kIdleSleep{60'000};
 
 } // namespace internal
 
@@ -51,7 +51,7 @@
         if (auto manifest = wanted()) {
             fetch(*manifest);
         } else {
-            m_waker.sleep(internal::kIdle);
+            m_waker.sleep(internal::kIdleSleep);
         }
     }
 }
@@ -68,16 +68,16 @@
 void DocumentFetcher::fetch(const Manifest &manifest)
 {
     ConfigDocument document{manifest, {}};
-    const auto present = m_target.document();
+    const auto current = m_target.document();
     for (const auto &[name, hash] : manifest.parts) {
-        const auto known = present.manifest.parts.find(name);
-        if (known != present.manifest.parts.end() && known->second == hash) {
-            document.parts[name] = present.parts.at(name);
+        const auto known = current.manifest.parts.find(name);
+        if (known != current.manifest.parts.end() && known->second == hash) {
+            document.parts[name] = current.parts.at(name);
         } else if (const auto it = m_parts.find(hash); it != m_parts.end()) {
             document.parts[name] = it->second;
         } else {
             readPart(name, hash);
-            // Which version is wanted may have changed meanwhile.
+            // The wanted version may have changed during the read.
             return;
         }
     }
@@ -103,10 +103,11 @@
     }
     logEvent(LogLevel::Warn, "platform", "part-missing",
              {{"part", name}, {"reason", part.error().reason}});
-    const int doublings = std::min(m_failures++, internal::kMostDoublings);
-    const auto most = std::min(internal::kFirstPause * (1 << doublings), internal::kLongestPause);
-    m_waker.sleep(Millis{
-            static_cast<std::int64_t>(m_random.below(static_cast<std::uint64_t>(most.count())))});
+    const int doublings = std::min(m_failures++, internal::kMaxBackoffDoublings);
+    const auto maxPause
+            = std::min(internal::kInitialBackoff * (1 << doublings), internal::kMaxBackoff);
+    m_waker.sleep(Millis{static_cast<std::int64_t>(
+            m_random.below(static_cast<std::uint64_t>(maxPause.count())))});
 }
 
 } // namespace celeryramp
--- a/src/celeryramp/node/document_fetcher.h
+++ b/src/celeryramp/node/document_fetcher.h
@@ -16,17 +16,17 @@
 namespace celeryramp {
 
 /*!
- * @brief The duty that reads the parts of a published version, while another goes on watching for
- * the next one.
+ * @brief Reads the parts of a published version on a thread of its own, while another thread
+ * watches for the next version.
  *
- * Only the newest wanted version is read. A newer one that is wanted meanwhile replaces it between
- * two parts, and parts that both versions name are read once. On a slow platform a version thus
- * waits for one part of its predecessor at most.
+ * Only the newest wanted version is read. A newer version replaces it between two parts, and parts
+ * common to both are read once. On a slow platform a version therefore waits for at most one part
+ * of its predecessor.
  */
 class DocumentFetcher
 {
 public:
-    /*! @param source Used by the fetcher alone. @param target Outlives the fetcher. */
+    /*! @param source Used only by the fetcher. @param target Must outlive the fetcher. */
     DocumentFetcher(PlatformSource &source, DocumentTarget &target, std::uint64_t seed)
         : m_source{source}, m_target{target}, m_random{seed}
     { }
@@ -35,17 +35,17 @@
     DocumentFetcher &operator=(const DocumentFetcher &) = delete;
 
     void start();
-    /*! @brief Ends the thread. A read under way must be ended by the owner of the source. */
+    /*! @brief Joins the thread. The owner of the source must interrupt a read in progress. */
     void stop();
 
-    /*! @brief This version is to be read, in place of an older one that is not read yet. */
+    /*! @brief Requests a version, which replaces an older one that is not read yet. */
     void want(const Manifest &manifest);
 
 private:
     void loop();
-    /*! @return The version that is wanted now, if any. */
+    /*! @return The version to read now, if any. */
     [[nodiscard]] std::optional<Manifest> wanted();
-    /*! @brief Hands the document over when all its parts are known, or else reads one more. */
+    /*! @brief Delivers the document when all its parts are known; otherwise reads one more part. */
     void fetch(const Manifest &manifest);
     void readPart(const std::string &name, const std::string &hash);
 
@@ -53,10 +53,10 @@
     DocumentTarget &m_target;
     RandomEngine m_random;
     std::mutex m_mutex;
-    std::optional<Manifest> m_wanted; /*!< Guarded by the mutex, like the next. */
-    ConfigStamp m_newest; /*!< That was ever wanted. */
-    std::map<std::string, std::string> m_parts; /*!< Read so far, by hash. */
-    int m_failures = 0; /*!< In a row. */
+    std::optional<Manifest> m_wanted; /*!< Guarded by m_mutex, like m_newest. */
+    ConfigStamp m_newest; /*!< Newest stamp requested so far. */
+    std::map<std::string, std::string> m_parts; /*!< Parts read so far, by hash. */
+    int m_failures = 0; /*!< Consecutive failed reads. */
     std::atomic<bool> m_stopping{false};
     Waker m_waker;
     std::thread m_thread;
--- a/src/celeryramp/node/document_target.h
+++ b/src/celeryramp/node/document_target.h
@@ -5,7 +5,7 @@
 
 namespace celeryramp {
 
-/*! @brief Where documents that were read from the platform go. Safe to use from any thread. */
+/*! @brief Receives documents that were read from the platform. Thread-safe. */
 class DocumentTarget
 {
 public:
@@ -15,7 +15,7 @@
     [[nodiscard]] virtual bool isWanted(const ConfigStamp &stamp) const = 0;
     /*! @return The document in force. */
     [[nodiscard]] virtual ConfigDocument document() const = 0;
-    /*! @brief A whole document was read. */
+    /*! @brief Called when a document was read completely. */
     virtual void onDocument(ConfigDocument document) = 0;
 };
 
--- a/src/celeryramp/node/fleet_view.h
+++ b/src/celeryramp/node/fleet_view.h
@@ -8,19 +8,19 @@
 namespace celeryramp {
 
 /*!
- * @brief What the control duty publishes for the duties that carry calls. Immutable.
- * All of it is a hint but `selfLeaving` and `quarantined`, which the gate acts on.
+ * @brief Immutable fleet state that the control service publishes to request handling.
+ * All fields are hints except `selfLeaving` and `quarantined`, which the gate enforces.
  */
 struct FleetView
 {
     std::set<std::string> down;
     std::set<std::string> leaving;
-    std::set<std::string> quarantined; /*!< Digests not to be run. */
-    std::set<std::string> suspect; /*!< Digests not to be repeated by the mesh. */
+    std::set<std::string> quarantined; /*!< Digests of requests that must not run. */
+    std::set<std::string> suspect; /*!< Digests of requests that the mesh must not retry. */
     bool selfLeaving = false;
-    bool superseded = false; /*!< Another process holds this server's slot. */
+    bool superseded = false; /*!< Another process has taken this server's slot. */
 
-    /*! @return True when new work may go to a server, as far as this node knows. */
+    /*! @return True when a server is neither down nor leaving, as far as this node knows. */
     [[nodiscard]] bool isOpen(const std::string &server) const
     {
         return down.count(server) == 0 && leaving.count(server) == 0;
--- a/src/celeryramp/node/fwd.h
+++ b/src/celeryramp/node/fwd.h
@@ -1,21 +1,21 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the node module: duties, the road of a call, settings. The only module
- *  that knows all others.
+ *  Forward declarations of the node module: services, request handling, settings. It is the only
+ *  module that depends on all others.
  */
 
 namespace celeryramp {
 
 class AccountsDuty;
-class ControlDuty;
+class CallHandler;
+class ControlService;
 class DocumentFetcher;
 class DocumentTarget;
-class GateDuty;
+class GateWorkerPool;
 class Node;
 class OperatorPort;
-class PlatformDuty;
-class Road;
+class PlatformReader;
 struct NodeSettings;
 
 } // namespace celeryramp
--- a/src/celeryramp/node/gate_duty.cpp
+++ b/src/celeryramp/node/gate_worker_pool.cpp
@@ -1,4 +1,4 @@
-#include "node/gate_duty.h"
+#include "node/gate_worker_pool.h"
 
 #include <algorithm>
 #include <array>
@@ -11,8 +11,8 @@
 
 namespace internal {
 
-constexpr Millis kOverdueCheck{20};
-constexpr Millis kIdleCheck{1000};
+constexpr Millis kQueuedPollInterval{20};
+constexpr Millis kIdlePollInterval{1000};
 constexpr int kHttpServerError = 500;
 constexpr int kHttpUnavailable = 503;
 
@@ -22,32 +22,32 @@
     return static_cast<std::uint64_t>(std::chrono::duration_cast<Millis>(now).count());
 }
 
-struct EndEntry
+struct ReplyMapping
 {
     BackendEnd end;
     Outcome outcome;
     Reason reason;
 };
 
-constexpr std::array<EndEntry, 5> kEnds{
+constexpr std::array<ReplyMapping, 5> kReplyMappings{
         {{BackendEnd::Answered, Outcome::Answered, Reason::None},
          {BackendEnd::NotConnected, Outcome::NotRun, Reason::Unreachable},
          {BackendEnd::TimedOut, Outcome::Unknown, Reason::NoAnswer},
          {BackendEnd::Broken, Outcome::Unknown, Reason::BadAnswer},
          {BackendEnd::Crashed, Outcome::Unknown, Reason::ServerLost}}};
 
-[[nodiscard]] const EndEntry &endEntry(BackendEnd end)
+[[nodiscard]] const ReplyMapping &replyMapping(BackendEnd end)
 {
-    return kEnds[static_cast<std::size_t>(end)];
+    return kReplyMappings[static_cast<std::size_t>(end)];
 }
 
 } // namespace internal
 
-GateDuty::GateDuty(const NodeSettings &settings, const Cell<Snapshot> &snapshot,
-                   const Cell<FleetView> &fleet, ContextTable &contexts, PostOffice &post,
-                   MetricsRegistry &metrics, OnCrash onCrash)
+GateWorkerPool::GateWorkerPool(const NodeSettings &settings, const SharedValue<Snapshot> &snapshot,
+                               const SharedValue<FleetView> &fleet, ContextTable &contexts,
+                               MessageSender &sender, MetricsRegistry &metrics, OnCrash onCrash)
     : m_settings{settings}, m_snapshot{snapshot}, m_fleet{fleet},
-      m_contexts{contexts}, m_post{post}, m_onCrash{std::move(onCrash)},
+      m_contexts{contexts}, m_sender{sender}, m_onCrash{std::move(onCrash)},
       m_answered{metrics.counter("gate_answered_total")}, m_refused{metrics.counter(
                                                                   "gate_refused_total")},
       m_crashes{metrics.counter("gate_server_crashes_total")}, m_latency{metrics.latency(
@@ -56,19 +56,19 @@
       m_crashWatch{settings.server}
 { }
 
-GateDuty::~GateDuty()
+GateWorkerPool::~GateWorkerPool()
 {
     stop();
 }
 
-void GateDuty::start()
+void GateWorkerPool::start()
 {
     for (int i = 0; i < m_settings.slots; ++i) {
         m_threads.emplace_back([this] { work(); });
     }
 }
 
-void GateDuty::stop()
+void GateWorkerPool::stop()
 {
     {
         const std::lock_guard lock{m_mutex};
@@ -81,7 +81,7 @@
     m_threads.clear();
 }
 
-void GateDuty::offer(CallMessage call, LinkId link, TimePoint now)
+void GateWorkerPool::offer(CallMessage call, LinkId link, TimePoint now)
 {
     const auto snapshot = m_snapshot.get();
     const auto fleet = m_fleet.get();
@@ -97,7 +97,7 @@
     refuse(refusals);
 }
 
-void GateDuty::cancel(std::uint64_t id, LinkId link)
+void GateWorkerPool::cancel(std::uint64_t id, LinkId link)
 {
     std::optional<QueuedCall> call;
     {
@@ -109,37 +109,37 @@
     }
 }
 
-void GateDuty::drain()
+void GateWorkerPool::drain()
 {
     const std::lock_guard lock{m_mutex};
     m_gate.drain();
 }
 
-bool GateDuty::isIdle() const
+bool GateWorkerPool::isIdle() const
 {
     const std::lock_guard lock{m_mutex};
     return m_gate.isIdle();
 }
 
-GateLoad GateDuty::load() const
+GateLoad GateWorkerPool::load() const
 {
     const std::lock_guard lock{m_mutex};
     return m_gate.load();
 }
 
-GateCounters GateDuty::counters() const
+GateCounters GateWorkerPool::counters() const
 {
     const std::lock_guard lock{m_mutex};
     return m_gate.counters();
 }
 
-std::uint64_t GateDuty::rampFalls() const
+std::uint64_t GateWorkerPool::rampFalls() const
 {
     const std::lock_guard lock{m_mutex};
     return m_gate.ramp().falls();
 }
 
-void GateDuty::work()
+void GateWorkerPool::work()
 {
     BackendClient client{m_settings.backend};
     while (true) {
@@ -155,7 +155,7 @@
     }
 }
 
-std::optional<QueuedCall> GateDuty::nextCall()
+std::optional<QueuedCall> GateWorkerPool::nextCall()
 {
     std::vector<Refusal> refusals;
     std::optional<QueuedCall> call;
@@ -164,7 +164,8 @@
         call = m_gate.next(surroundings(m_snapshot.get(), m_fleet.get()), Clock::now(), refusals);
         if (!call && refusals.empty() && !m_stopping) {
             const bool isQueued = m_gate.load().queued > 0;
-            m_ready.wait_for(lock, isQueued ? internal::kOverdueCheck : internal::kIdleCheck);
+            m_ready.wait_for(
+                    lock, isQueued ? internal::kQueuedPollInterval : internal::kIdlePollInterval);
             call = m_gate.next(surroundings(m_snapshot.get(), m_fleet.get()), Clock::now(),
                                refusals);
         }
@@ -173,19 +174,19 @@
     return call;
 }
 
-void GateDuty::run(const QueuedCall &call, BackendClient &client)
+void GateWorkerPool::run(const QueuedCall &call, BackendClient &client)
 {
     const auto start = Clock::now();
     const auto remaining = std::max(Millis{1}, millisBetween(start, call.deadline));
     const auto token = m_contexts.open(
             {call.call.account, call.call.keyId, call.call.chain, call.call.depth, call.deadline});
     auto reply = client.call(call.call, {token, remaining});
-    const auto within = m_contexts.close(token);
+    const auto nestedCalls = m_contexts.close(token);
     const auto end = Clock::now();
-    // Time that the server waited for its own calls says nothing about the server itself.
+    // Excludes the time spent on nested calls, since it does not measure the server itself.
     const auto whole = std::chrono::duration_cast<Micros>(end - start);
-    const auto latency = std::max(Micros{0}, whole - within.nested);
-    if (within.failedBelow && reply.status >= internal::kHttpServerError) {
+    const auto latency = std::max(Micros{0}, whole - nestedCalls.nested);
+    if (nestedCalls.failedBelow && reply.status >= internal::kHttpServerError) {
         reply.headers.emplace_back(kRetriedHeader, "1");
     }
     if (reply.end == BackendEnd::TimedOut) {
@@ -209,12 +210,12 @@
         answer.load = m_gate.load();
     }
     (answer.outcome == Outcome::NotRun ? m_refused : m_answered).add();
-    m_post.answer(call.replyPath, std::move(answer));
+    m_sender.answer(call.replyPath, std::move(answer));
 }
 
-AnswerMessage GateDuty::toAnswer(const QueuedCall &call, BackendReply reply) const
+AnswerMessage GateWorkerPool::toAnswer(const QueuedCall &call, BackendReply reply) const
 {
-    const auto &entry = internal::endEntry(reply.end);
+    const auto &entry = internal::replyMapping(reply.end);
     AnswerMessage answer;
     answer.id = call.call.id;
     answer.request = call.call.request;
@@ -227,7 +228,8 @@
     return answer;
 }
 
-Evidence GateDuty::evidenceOf(const QueuedCall &call, const BackendReply &reply, Micros latency)
+Evidence GateWorkerPool::evidenceOf(const QueuedCall &call, const BackendReply &reply,
+                                    Micros latency)
 {
     if (reply.end != BackendEnd::Answered) {
         return Evidence::Failed;
@@ -241,7 +243,7 @@
     return latency <= Millis{call.call.latencyMs} ? Evidence::InTarget : Evidence::Late;
 }
 
-void GateDuty::refuse(const std::vector<Refusal> &refusals)
+void GateWorkerPool::refuse(const std::vector<Refusal> &refusals)
 {
     for (const auto &refusal : refusals) {
         m_refused.add();
@@ -252,11 +254,11 @@
         answer.reason = refusal.reason;
         answer.bodyHash = stableHash(std::string_view{});
         answer.load = load();
-        m_post.answer(refusal.call.replyPath, std::move(answer));
+        m_sender.answer(refusal.call.replyPath, std::move(answer));
     }
 }
 
-void GateDuty::reportCrash(const std::string &digest)
+void GateWorkerPool::reportCrash(const std::string &digest)
 {
     m_crashes.add();
     std::vector<Rumour> rumours;
@@ -269,8 +271,8 @@
     m_onCrash(std::move(rumours));
 }
 
-GateSurroundings GateDuty::surroundings(const SnapshotPtr &snapshot,
-                                        const FleetViewPtr &fleet) const
+GateSurroundings GateWorkerPool::surroundings(const SnapshotPtr &snapshot,
+                                              const FleetViewPtr &fleet) const
 {
     return {snapshot.get(), fleet->selfLeaving || fleet->superseded, &fleet->quarantined,
             m_contexts.waiting()};
--- a/src/celeryramp/node/gate_duty.h
+++ b/src/celeryramp/node/gate_worker_pool.h
@@ -12,41 +12,41 @@
 #include "gate/context_table.h"
 #include "gate/crash_watch.h"
 #include "gate/gate.h"
-#include "node/cell.h"
 #include "node/fleet_view.h"
+#include "node/message_sender.h"
 #include "node/node_settings.h"
-#include "node/post_office.h"
+#include "node/shared_value.h"
 #include "observe/metrics_registry.h"
 #include "transport/backend_client.h"
 
 namespace celeryramp {
 
 /*! @brief Runs admitted calls at the backend server, one thread per slot. */
-class GateDuty
+class GateWorkerPool
 {
 public:
-    /*! @brief Told of requests in flight when the server died. */
+    /*! @brief Receives the rumours about requests in flight when the server crashed. */
     using OnCrash = std::function<void(std::vector<Rumour>)>;
 
-    GateDuty(const NodeSettings &settings, const Cell<Snapshot> &snapshot,
-             const Cell<FleetView> &fleet, ContextTable &contexts, PostOffice &post,
-             MetricsRegistry &metrics, OnCrash onCrash);
-    ~GateDuty();
-    GateDuty(const GateDuty &) = delete;
-    GateDuty &operator=(const GateDuty &) = delete;
+    GateWorkerPool(const NodeSettings &settings, const SharedValue<Snapshot> &snapshot,
+                   const SharedValue<FleetView> &fleet, ContextTable &contexts,
+                   MessageSender &sender, MetricsRegistry &metrics, OnCrash onCrash);
+    ~GateWorkerPool();
+    GateWorkerPool(const GateWorkerPool &) = delete;
+    GateWorkerPool &operator=(const GateWorkerPool &) = delete;
 
     void start();
 
-    /*! @brief Runs what waits to its end and joins the threads. */
+    /*! @brief Finishes the queued calls and joins the threads. */
     void stop();
 
-    /*! @brief A call arrived. @param link Way back; 0 for this node itself. */
+    /*! @brief Queues or refuses a call. @param link Link for the answer; 0 for this node. */
     void offer(CallMessage call, LinkId link, TimePoint now);
 
-    /*! @brief The caller of a call no longer waits. */
+    /*! @brief Removes a queued call whose caller no longer waits. */
     void cancel(std::uint64_t id, LinkId link);
 
-    /*! @brief Refuses new work from now on. */
+    /*! @brief Refuses all new calls from now on. */
     void drain();
 
     [[nodiscard]] bool isIdle() const;
@@ -67,10 +67,10 @@
                                                 const FleetViewPtr &fleet) const;
 
     const NodeSettings &m_settings;
-    const Cell<Snapshot> &m_snapshot;
-    const Cell<FleetView> &m_fleet;
+    const SharedValue<Snapshot> &m_snapshot;
+    const SharedValue<FleetView> &m_fleet;
     ContextTable &m_contexts;
-    PostOffice &m_post;
+    MessageSender &m_sender;
     OnCrash m_onCrash;
     Counter &m_answered;
     Counter &m_refused;
--- a/src/celeryramp/node/ledger_duty.cpp
+++ b/src/celeryramp/node/ledger_service.cpp
@@ -1,4 +1,4 @@
-#include "node/ledger_duty.h"
+#include "node/ledger_service.h"
 
 #include <nlohmann/json.hpp>
 
@@ -9,14 +9,16 @@
 constexpr std::size_t kLedgerRing = 16384;
 constexpr Millis kLedgerTick{200};
 constexpr Millis kRecoveryInterval{1000};
-constexpr Millis kMintAgainAfter{3000}; /*!< Time to hear of a successor after a pause. */
-constexpr Millis kSuccessorPossible{3000}; /*!< Pause after which a successor may exist. */
+constexpr Millis kMintResumeDelay{
+        3000}; /*!< Time after a pause for notice of a successor to arrive. */
+constexpr Millis kMinPauseForSuccessor{
+        3000}; /*!< Shortest pause after which a successor may exist. */
 
 } // namespace internal
 
-LedgerDuty::LedgerDuty(const NodeSettings &settings, PostOffice &post, MetricsRegistry &metrics,
-                       TimePoint startedAt)
-    : m_settings{settings}, m_post{post}, m_ring{internal::kLedgerRing},
+LedgerService::LedgerService(const NodeSettings &settings, MessageSender &sender,
+                             MetricsRegistry &metrics, TimePoint startedAt)
+    : m_settings{settings}, m_sender{sender}, m_ring{internal::kLedgerRing},
       m_grants{metrics.counter("minter_grants_total")},
       m_votes{metrics.counter("ledger_votes_total")}, m_minter{settings.server},
       m_home{settings.server, settings.ledger, startedAt}, m_resumeAt{startedAt}
@@ -24,17 +26,17 @@
     metrics.gauge("ledger_ring_refused", [this] { return double(m_ring.refused()); });
 }
 
-LedgerDuty::~LedgerDuty()
+LedgerService::~LedgerService()
 {
     stop();
 }
 
-void LedgerDuty::start()
+void LedgerService::start()
 {
     m_thread = std::thread{[this] { loop(); }};
 }
 
-void LedgerDuty::stop()
+void LedgerService::stop()
 {
     m_stopping = true;
     m_ring.close();
@@ -43,29 +45,29 @@
     }
 }
 
-bool LedgerDuty::push(LinkId link, Message message)
+bool LedgerService::push(LinkId link, Message message)
 {
     return m_ring.push({link, std::move(message)});
 }
 
-void LedgerDuty::onSnapshot(SnapshotPtr snapshot, TimePoint now)
+void LedgerService::onSnapshot(SnapshotPtr snapshot, TimePoint now)
 {
     const std::lock_guard lock{m_mutex};
     m_minter.onSnapshot(snapshot, now);
     m_home.onSnapshot(std::move(snapshot), now);
 }
 
-void LedgerDuty::onPaused(Millis pause, TimePoint now)
+void LedgerService::onPaused(Millis pause, TimePoint now)
 {
     const std::lock_guard lock{m_mutex};
     m_minter.suspend(now);
-    m_resumeAt = now + internal::kMintAgainAfter;
-    if (pause >= internal::kSuccessorPossible) {
+    m_resumeAt = now + internal::kMintResumeDelay;
+    if (pause >= internal::kMinPauseForSuccessor) {
         m_home.onPause(now);
     }
 }
 
-void LedgerDuty::loop()
+void LedgerService::loop()
 {
     while (!m_stopping) {
         auto event = m_ring.pop(internal::kLedgerTick);
@@ -80,34 +82,34 @@
     }
 }
 
-void LedgerDuty::handle(LinkId link, const Message &message, TimePoint now)
+void LedgerService::handle(LinkId link, const Message &message, TimePoint now)
 {
     std::unique_lock lock{m_mutex};
     if (const auto *ask = std::get_if<TokenRequestMessage>(&message)) {
         const auto grant = m_minter.take(ask->account, ask->microTokens, now);
         lock.unlock();
         m_grants.add();
-        m_post.answer(link,
-                      TokenGrantMessage{ask->id, ask->account, m_settings.server, grant.granted,
-                                        grant.left,
-                                        static_cast<std::uint32_t>(grant.life.count())});
+        m_sender.answer(link,
+                        TokenGrantMessage{ask->id, ask->account, m_settings.server, grant.granted,
+                                          grant.left,
+                                          static_cast<std::uint32_t>(grant.life.count())});
     } else if (const auto *reserve = std::get_if<ReserveMessage>(&message)) {
         auto vote = m_home.onReserve(*reserve, now);
         lock.unlock();
         m_votes.add();
-        m_post.answer(link, std::move(vote));
+        m_sender.answer(link, std::move(vote));
     } else if (const auto *complete = std::get_if<CompleteMessage>(&message)) {
         m_home.onComplete(*complete, now);
     } else if (std::holds_alternative<RecoverMessage>(message)) {
         auto records = m_home.onRecover(now);
         lock.unlock();
-        m_post.answer(link, std::move(records));
+        m_sender.answer(link, std::move(records));
     } else if (const auto *records = std::get_if<RecordsMessage>(&message)) {
         m_home.onRecords(*records, now);
     }
 }
 
-void LedgerDuty::tick(TimePoint now)
+void LedgerService::tick(TimePoint now)
 {
     std::vector<std::string> wanted;
     {
@@ -122,11 +124,11 @@
         }
     }
     for (const auto &server : wanted) {
-        m_post.post(server, RecoverMessage{m_settings.server});
+        m_sender.post(server, RecoverMessage{m_settings.server});
     }
 }
 
-nlohmann::json LedgerDuty::state(TimePoint now) const
+nlohmann::json LedgerService::state(TimePoint now) const
 {
     const std::lock_guard lock{m_mutex};
     return {{"records", m_home.size()},
--- a/src/celeryramp/node/ledger_duty.h
+++ b/src/celeryramp/node/ledger_service.h
@@ -11,35 +11,36 @@
 #include "core/ring.h"
 #include "gate/ledger_home.h"
 #include "limits/minter.h"
+#include "node/message_sender.h"
 #include "node/node_settings.h"
-#include "node/post_office.h"
 #include "observe/metrics_registry.h"
 
 namespace celeryramp {
 
-/*! @brief The duty that answers for this server's shares of accounts and of the ledger. */
-class LedgerDuty
+/*! @brief Serves this server's shares of the accounts and of the ledger on a thread of its own. */
+class LedgerService
 {
 public:
-    LedgerDuty(const NodeSettings &settings, PostOffice &post, MetricsRegistry &metrics,
-               TimePoint startedAt);
-    ~LedgerDuty();
-    LedgerDuty(const LedgerDuty &) = delete;
-    LedgerDuty &operator=(const LedgerDuty &) = delete;
+    LedgerService(const NodeSettings &settings, MessageSender &sender, MetricsRegistry &metrics,
+                  TimePoint startedAt);
+    ~LedgerService();
+    LedgerService(const LedgerService &) = delete;
+    LedgerService &operator=(const LedgerService &) = delete;
 
     void start();
     void stop();
 
-    /*! @brief A message for minter or ledger arrived. @return False when the ring is full. */
+    /*! @brief Queues a message for the minter or the ledger. @return False when the ring is full.
+     */
     bool push(LinkId link, Message message);
 
-    /*! @brief A configuration came in force. */
+    /*! @brief Applies a new configuration. */
     void onSnapshot(SnapshotPtr snapshot, TimePoint now);
 
-    /*! @brief The process was paused. */
+    /*! @brief Handles a pause of the process. */
     void onPaused(Millis pause, TimePoint now);
 
-    /*! @return State for operators. */
+    /*! @return State for the operator port. */
     [[nodiscard]] nlohmann::json state(TimePoint now) const;
 
 private:
@@ -54,7 +55,7 @@
     void tick(TimePoint now);
 
     const NodeSettings &m_settings;
-    PostOffice &m_post;
+    MessageSender &m_sender;
     BoundedRing<Event> m_ring;
     Counter &m_grants;
     Counter &m_votes;
--- a/src/celeryramp/node/post_office.h
+++ b/src/celeryramp/node/message_sender.h
@@ -8,16 +8,16 @@
 
 namespace celeryramp {
 
-/*! @brief Sends to any server's node, this one included. */
-class PostOffice
+/*! @brief Sends messages to the node of any server, including this one. */
+class MessageSender
 {
 public:
-    virtual ~PostOffice() = default;
+    virtual ~MessageSender() = default;
 
-    /*! @return The link used; 0 when the message was dropped at once. */
+    /*! @return The link used; 0 when the message was dropped immediately. */
     virtual LinkId post(const std::string &server, Message message, std::uint64_t token = 0) = 0;
 
-    /*! @brief Answers on the link a message came by; link 0 is this node itself. */
+    /*! @brief Answers on the link that a message arrived on; link 0 is this node. */
     virtual void answer(LinkId link, Message message) = 0;
 };
 
--- a/src/celeryramp/node/node.cpp
+++ b/src/celeryramp/node/node.cpp
@@ -16,8 +16,9 @@
 
 constexpr Millis kPeerAnswerWait{2000};
 constexpr Millis kPlatformAnswerWait{12'000};
-constexpr Millis kAnnouncementTime{500}; /*!< Others hear of the leaving before listeners close. */
-constexpr Millis kLongestLeave{30'000};
+constexpr Millis kLeaveAnnouncementDelay{
+        500}; /*!< Lets peers learn that the node leaves before its listeners close. */
+constexpr Millis kMaxIdleWait{30'000};
 constexpr Millis kIdlePoll{20};
 constexpr Millis kCallerKeepAlive{5000};
 
@@ -51,9 +52,9 @@
                                                                      *this,
                                                                      m_policy,
                                                                      m_metrics},
-      m_routing{m_settings.zone, stableHash(m_settings.server) ^ m_incarnation,
-                m_settings.mechanisms},
-      m_accounts{m_settings.zone, *this}, m_ledger{m_settings, *this, m_metrics, m_startedAt},
+      m_router{m_settings.zone, stableHash(m_settings.server) ^ m_incarnation,
+               m_settings.mechanisms},
+      m_admission{m_settings.zone, *this}, m_ledger{m_settings, *this, m_metrics, m_startedAt},
       m_control{m_settings, m_incarnation, m_snapshot, m_fleet, *this, *this, m_metrics},
       m_platform{m_settings, m_control, m_policy, m_metrics,
                  stableHash(m_settings.server) + m_incarnation},
@@ -66,15 +67,18 @@
              [this](std::vector<Rumour> rumours) {
                  m_control.push(PublishEvent{std::move(rumours)});
              }},
-      m_road{m_settings, *this,      m_snapshot, m_fleet,  m_contexts,
-             m_routing,  m_accounts, *this,      m_metrics},
-      m_callers{
-              internal::listenerOf(m_settings.callers, m_settings.callerThreads,
-                                   m_settings.maxBodyBytes),
-              [this](const HttpRequest &request) { return m_road.serve(request, Door::Outside); }},
+      m_callHandler{m_settings, *this,       m_snapshot, m_fleet,  m_contexts,
+                    m_router,   m_admission, *this,      m_metrics},
+      m_callers{internal::listenerOf(m_settings.callers, m_settings.callerThreads,
+                                     m_settings.maxBodyBytes),
+                [this](const HttpRequest &request) {
+                    return m_callHandler.serve(request, CallOrigin::External);
+                }},
       m_inside{internal::listenerOf(m_settings.inside, m_settings.insideThreads,
                                     m_settings.maxBodyBytes),
-               [this](const HttpRequest &request) { return m_road.serve(request, Door::Inside); }},
+               [this](const HttpRequest &request) {
+                   return m_callHandler.serve(request, CallOrigin::LocalServer);
+               }},
       m_operators{m_settings, *this, m_metrics, m_policy}
 {
     m_metrics.gauge("process_cpu_seconds_total", [] { return processUsage().cpuSeconds; });
@@ -82,12 +86,12 @@
                     [] { return double(processUsage().residentBytes); });
     m_metrics.gauge("config_version", [this] { return double(m_control.stamp().version); });
     m_metrics.gauge("peer_links", [this] { return double(m_mesh.links()); });
-    m_metrics.gauge("late_answers", [this] { return double(m_road.lateAnswers()); });
+    m_metrics.gauge("late_answers", [this] { return double(m_callHandler.lateAnswers()); });
 }
 
 Node::~Node()
 {
-    stopDuties();
+    stopServices();
 }
 
 Result<bool, NodeError> Node::start()
@@ -118,23 +122,23 @@
 {
     m_leaving = true;
     m_control.push(LeaveEvent{});
-    std::this_thread::sleep_for(internal::kAnnouncementTime);
+    std::this_thread::sleep_for(internal::kLeaveAnnouncementDelay);
     m_gate.drain();
     waitUntilIdle();
     m_callers.stop();
     waitUntilIdle();
-    stopDuties();
+    stopServices();
 }
 
 void Node::waitUntilIdle()
 {
-    const auto until = Clock::now() + internal::kLongestLeave;
-    while (Clock::now() < until && (!m_gate.isIdle() || m_road.underWay() > 0)) {
+    const auto until = Clock::now() + internal::kMaxIdleWait;
+    while (Clock::now() < until && (!m_gate.isIdle() || m_callHandler.inFlight() > 0)) {
         std::this_thread::sleep_for(internal::kIdlePoll);
     }
 }
 
-void Node::stopDuties()
+void Node::stopServices()
 {
     if (m_stopped) {
         return;
@@ -178,7 +182,7 @@
 {
     const auto *answer = std::get_if<AnswerMessage>(&message);
     if (answer != nullptr && answer->request.empty()) {
-        return; // such answers are made only inside a node
+        return; // answers without a request ID are valid only within a node
     }
     dispatch(from, link, std::move(message));
 }
@@ -188,13 +192,13 @@
     if (auto *call = std::get_if<CallMessage>(&message)) {
         m_gate.offer(std::move(*call), link, Clock::now());
     } else if (auto *answered = std::get_if<AnswerMessage>(&message)) {
-        m_road.onAnswer(std::move(*answered));
+        m_callHandler.onAnswer(std::move(*answered));
     } else if (const auto *cancel = std::get_if<CancelMessage>(&message)) {
         m_gate.cancel(cancel->id, link);
     } else if (const auto *grant = std::get_if<TokenGrantMessage>(&message)) {
-        m_accounts.onGrant(*grant, Clock::now());
+        m_admission.onGrant(*grant, Clock::now());
     } else if (auto *vote = std::get_if<VoteMessage>(&message)) {
-        m_road.onVote(std::move(*vote));
+        m_callHandler.onVote(std::move(*vote));
     } else if (std::holds_alternative<TokenRequestMessage>(message)
                || std::holds_alternative<ReserveMessage>(message)
                || std::holds_alternative<CompleteMessage>(message)
@@ -213,7 +217,7 @@
 
 void Node::onPeerLost(const std::string &name, LinkId link, bool refused)
 {
-    m_road.onLinkLost(link);
+    m_callHandler.onLinkLost(link);
     m_control.push(PeerLostEvent{name, refused});
 }
 
@@ -221,13 +225,13 @@
 {
     switch (tokenKind(token)) {
     case TokenKind::Call:
-        m_road.onCallUnsent(tokenId(token));
+        m_callHandler.onCallUnsent(tokenId(token));
         break;
     case TokenKind::TokenAsk:
-        m_accounts.onUnsent(tokenId(token), Clock::now());
+        m_admission.onUnsent(tokenId(token), Clock::now());
         break;
     case TokenKind::Vote:
-        m_road.onVoteUnsent(tokenId(token), name);
+        m_callHandler.onVoteUnsent(tokenId(token), name);
         break;
     case TokenKind::None:
         break;
@@ -243,8 +247,8 @@
 
 void Node::onSnapshot(SnapshotPtr snapshot, TimePoint now)
 {
-    m_routing.onSnapshot(*snapshot, now);
-    m_accounts.onSnapshot(snapshot, now);
+    m_router.onSnapshot(*snapshot, now);
+    m_admission.onSnapshot(snapshot, now);
     m_ledger.onSnapshot(std::move(snapshot), now);
 }
 
@@ -258,7 +262,7 @@
     m_ledger.onPaused(pause, now);
 }
 
-void Node::onStillEmpty()
+void Node::onNoConfiguration()
 {
     if (!m_settings.seeds.empty()) {
         m_mesh.connectTo(m_settings.seeds[m_nextSeed++ % m_settings.seeds.size()]);
@@ -271,7 +275,7 @@
         return false;
     }
     const auto age = now - m_startedAt;
-    const bool platformAsked = m_platform.hasAsked() || age >= internal::kPlatformAnswerWait;
+    const bool platformAsked = m_platform.isFirstReadDone() || age >= internal::kPlatformAnswerWait;
     const bool peersAsked = m_control.hasPeerAnswered() || m_settings.seeds.empty()
             || age >= internal::kPeerAnswerWait;
     return platformAsked && peersAsked;
@@ -347,7 +351,7 @@
                       {"leaving", fleet->leaving},
                       {"quarantined", fleet->quarantined},
                       {"suspect", fleet->suspect}};
-    state["calls_under_way"] = m_road.underWay();
+    state["calls_under_way"] = m_callHandler.inFlight();
     state["contexts"] = m_contexts.size();
     state["links"] = m_mesh.links();
     state["metrics"] = m_metrics.json();
@@ -364,7 +368,7 @@
     }
     const auto fleet = m_fleet.get();
     auto servers = nlohmann::json::array();
-    for (const auto &[name, pressure] : m_routing.pressures(*snapshot, route->service, now)) {
+    for (const auto &[name, pressure] : m_router.pressures(*snapshot, route->service, now)) {
         const auto &zone = snapshot->findServer(name)->zone;
         std::string verdict = zone == m_settings.zone ? "own zone" : "other zone";
         if (!snapshot->isZoneInService(zone)) {
--- a/src/celeryramp/node/node.h
+++ b/src/celeryramp/node/node.h
@@ -7,17 +7,17 @@
 #include <nlohmann/json_fwd.hpp>
 
 #include "gate/context_table.h"
-#include "node/accounts_desk.h"
-#include "node/cell.h"
-#include "node/control_duty.h"
-#include "node/gate_duty.h"
-#include "node/ledger_duty.h"
+#include "node/admission_controller.h"
+#include "node/call_handler.h"
+#include "node/control_service.h"
+#include "node/gate_worker_pool.h"
+#include "node/ledger_service.h"
+#include "node/message_sender.h"
 #include "node/node_settings.h"
 #include "node/operator_port.h"
-#include "node/platform_duty.h"
-#include "node/post_office.h"
-#include "node/road.h"
-#include "node/routing_desk.h"
+#include "node/platform_reader.h"
+#include "node/request_router.h"
+#include "node/shared_value.h"
 #include "transport/http_listener.h"
 #include "transport/peer_mesh.h"
 
@@ -29,11 +29,11 @@
     std::string reason;
 };
 
-/*! @brief One node: all duties, wired. */
-class Node : public PostOffice,
+/*! @brief Owns the services of one node and routes messages between them. */
+class Node : public MessageSender,
              public PeerEvents,
              public ControlHooks,
-             public RoadSurroundings,
+             public NodeStatus,
              public OperatorView
 {
 public:
@@ -42,13 +42,14 @@
     Node(const Node &) = delete;
     Node &operator=(const Node &) = delete;
 
-    /*! @brief Starts all duties and listeners. */
+    /*! @brief Starts all services and listeners. */
     [[nodiscard]] Result<bool, NodeError> start();
 
-    /*! @brief Announces leaving, finishes what runs, then ends all duties. */
+    /*! @brief Announces that the node leaves, waits up to 30 s per phase for calls in flight, then
+     * stops. */
     void leave();
 
-    /*! @return True when another process holds this node's slot. */
+    /*! @return True when another process has taken this node's slot. */
     [[nodiscard]] bool isSuperseded() const;
 
     LinkId post(const std::string &server, Message message, std::uint64_t token) override;
@@ -63,7 +64,7 @@
     void onSnapshot(SnapshotPtr snapshot, TimePoint now) override;
     void onReaderChanged(bool isReader) override;
     void onPaused(Millis pause, TimePoint now) override;
-    void onStillEmpty() override;
+    void onNoConfiguration() override;
 
     [[nodiscard]] bool isReady(TimePoint now) const override;
     [[nodiscard]] bool isLeaving() const override { return m_leaving; }
@@ -79,25 +80,25 @@
 private:
     void dispatch(const std::string &from, LinkId link, Message message);
     void waitUntilIdle();
-    void stopDuties();
+    void stopServices();
 
     NodeSettings m_settings;
     std::uint64_t m_incarnation;
     TimePoint m_startedAt;
     MetricsRegistry m_metrics;
     LinkPolicy m_policy;
-    Cell<Snapshot> m_snapshot;
-    Cell<FleetView> m_fleet;
+    SharedValue<Snapshot> m_snapshot;
+    SharedValue<FleetView> m_fleet;
     ContextTable m_contexts;
     Counter &m_ringRefused;
     PeerMesh m_mesh;
-    RoutingDesk m_routing;
-    AccountsDesk m_accounts;
-    LedgerDuty m_ledger;
-    ControlDuty m_control;
-    PlatformDuty m_platform;
-    GateDuty m_gate;
-    Road m_road;
+    RequestRouter m_router;
+    AdmissionController m_admission;
+    LedgerService m_ledger;
+    ControlService m_control;
+    PlatformReader m_platform;
+    GateWorkerPool m_gate;
+    CallHandler m_callHandler;
     HttpListener m_callers;
     HttpListener m_inside;
     OperatorPort m_operators;
--- a/src/celeryramp/node/node_settings.h
+++ b/src/celeryramp/node/node_settings.h
@@ -34,20 +34,21 @@
     std::string operatorToken; /*!< Content of the token file; empty on loopback. */
 
     Address backend; /*!< The backend server itself. */
-    int slots = 1; /*!< Calls it runs at a time when warm. */
+    int slots = 1; /*!< Maximum concurrent calls when the server is warm. */
     std::size_t queueCapacity = 256;
 
     Address platform;
-    Millis startSpread{8000}; /*!< First reads of the platform spread over this time. */
+    Millis startSpread{8000}; /*!< First platform reads of the nodes are spread over this time. */
 
     LedgerSettings ledger;
     LogLevel logLevel = LogLevel::Info;
-    bool faultsAllowed = false; /*!< The operator port may cut links, for tests. */
-    Mechanisms mechanisms; /*!< All on, but for tests. */
-    DistributionMode distribution = DistributionMode::Tree; /*!< Others are baselines. */
+    bool faultsAllowed = false; /*!< Allows the operator port to cut links, for tests. */
+    Mechanisms mechanisms; /*!< All enabled except in tests. */
+    DistributionMode distribution
+            = DistributionMode::Tree; /*!< Other modes are baselines for comparison. */
 };
 
-/*! @brief One line that says what is wrong with a settings file and where. */
+/*! @brief Error in a settings file, as one line with its position. */
 struct SettingsError
 {
     std::string text;
--- a/src/celeryramp/node/operator_port.h
+++ b/src/celeryramp/node/operator_port.h
@@ -12,32 +12,33 @@
 
 namespace celeryramp {
 
-/*! @brief What the operator port shows. */
+/*! @brief Data shown by the operator port. */
 class OperatorView
 {
 public:
     virtual ~OperatorView() = default;
 
-    /*! @return The whole process as JSON. */
+    /*! @return State of the whole process. */
     [[nodiscard]] virtual nlohmann::json state() const = 0;
 
-    /*! @return Version in force and its age, short. */
+    /*! @return Short status: the version in force and its age. */
     [[nodiscard]] virtual nlohmann::json status() const = 0;
 
     /*! @return All declared servers with zone and operator address. */
     [[nodiscard]] virtual nlohmann::json servers() const = 0;
 
-    /*! @return Where a call on this path would go, and why. */
+    /*! @return Candidate servers for a call on this path, with a verdict for each. */
     [[nodiscard]] virtual nlohmann::json explain(const std::string &path) const = 0;
 
-    /*! @return True when calls may be served. */
+    /*! @return True when the node may serve calls. */
     [[nodiscard]] virtual bool ready() const = 0;
 };
 
 /*!
- * @brief HTTP for operators: `/state`, `/status`, `/servers`, `/explain`, `/metrics`, `/healthz`,
- * `/readyz`, `PUT /log-level`, and `PUT /faults` when the settings allow it. Needs a token unless
- * on loopback.
+ * @brief HTTP server for operators: `/state`, `/status`, `/servers`, `/explain`, `/metrics`,
+ * `/healthz`,
+ * `/readyz`, `PUT /log-level`, and `PUT /faults` when the settings allow it. Requires a token
+ * unless it listens on loopback.
  */
 class OperatorPort
 {
--- a/src/celeryramp/node/platform_duty.cpp
+++ b/src/celeryramp/node/platform_reader.cpp
@@ -1,4 +1,4 @@
-#include "node/platform_duty.h"
+#include "node/platform_reader.h"
 
 #include <algorithm>
 
@@ -10,35 +10,38 @@
 namespace internal {
 
 constexpr Millis kWatchWait{5000};
-constexpr Millis kFirstBackOff{250};
-constexpr Millis kLongestBackOff{10'000};
+constexpr Millis kInitialReadBackOff{250};
+constexpr Millis kMaxReadBackOff{10'000};
 constexpr Millis kStaleBackOff{1000};
-constexpr Millis kDeafAfter{15'000}; /*!< Without any confirmation for this long, look oneself. */
-constexpr Millis kDeafCheck{10'000};
-/*! Pause between two reads of the list of instances, and how long the platform holds an unchanged
- *  one back. The list of 1,400 instances is 56 KB, so that it is read only when it changed. */
+constexpr Millis kConfirmationTimeout{
+        15'000}; /*!< Reads the platform itself after this time without a confirmation. */
+constexpr Millis kConfirmationCheckInterval{10'000};
+/*! Pause between two reads of the instance list, and how long the platform delays the response
+ *  while it is unchanged. A list of 1,400 instances is 56 KB, so it is sent only after a change. */
 constexpr Millis kInstanceInterval{1000};
 constexpr Millis kInstanceWait{5000};
 constexpr Millis kDecisionPoll{20};
 constexpr Millis kStartPoll{50};
-constexpr Millis kFreshEnough{5000};
-constexpr int kDecisionPolls = 120;
+constexpr Millis kRecentConfirmation{5000};
+constexpr int kMaxDecisionPolls = 120;
 
 } // namespace internal
 
-PlatformDuty::PlatformDuty(const NodeSettings &settings, ControlDuty &control,
-                           const LinkPolicy &policy, MetricsRegistry &metrics, std::uint64_t seed)
+PlatformReader::PlatformReader(const NodeSettings &settings, ControlService &control,
+                               const LinkPolicy &policy, MetricsRegistry &metrics,
+                               std::uint64_t seed)
     : m_settings{settings}, m_control{control}, m_client{settings.platform, policy, metrics},
       m_parts{settings.platform, policy, metrics}, m_instances{settings.platform, policy, metrics},
-      m_fetcher{m_parts, control, seed + 1}, m_random{seed}, m_backOff{internal::kFirstBackOff}
+      m_fetcher{m_parts, control, seed + 1}, m_random{seed}, m_backOff{
+                                                                     internal::kInitialReadBackOff}
 { }
 
-PlatformDuty::~PlatformDuty()
+PlatformReader::~PlatformReader()
 {
     stop();
 }
 
-void PlatformDuty::start()
+void PlatformReader::start()
 {
     m_fetcher.start();
     m_thread = std::thread{[this] { loop(); }};
@@ -52,7 +55,7 @@
     }};
 }
 
-void PlatformDuty::stop()
+void PlatformReader::stop()
 {
     m_stopping = true;
     m_watchWaker.stop();
@@ -68,23 +71,23 @@
     }
 }
 
-void PlatformDuty::setReader(bool isReader)
+void PlatformReader::setReader(bool isReader)
 {
     m_reader = isReader;
     m_watchWaker.wake();
 }
 
-void PlatformDuty::loop()
+void PlatformReader::loop()
 {
     awaitStart();
     while (!m_stopping) {
-        if (!m_asked) {
+        if (!m_firstReadDone) {
             readOnce(0, Millis{0});
-            m_asked = true;
+            m_firstReadDone = true;
             continue;
         }
         if (m_control.stamp().version == 0) {
-            m_watchWaker.sleep(jitter(internal::kFirstBackOff));
+            m_watchWaker.sleep(jitter(internal::kInitialReadBackOff));
             readOnce(0, Millis{0});
             continue;
         }
@@ -92,37 +95,39 @@
             watchOnce();
             continue;
         }
-        if (m_watchWaker.sleep(internal::kDeafCheck / 2 + jitter(internal::kDeafCheck))) {
+        if (m_watchWaker.sleep(internal::kConfirmationCheckInterval / 2
+                               + jitter(internal::kConfirmationCheckInterval))) {
             continue;
         }
-        const bool deaf = m_control.confirmedAgo(Clock::now()) >= internal::kDeafAfter;
-        if (deaf && !m_reader && !m_stopping) {
+        const bool isUnconfirmed
+                = m_control.confirmedAgo(Clock::now()) >= internal::kConfirmationTimeout;
+        if (isUnconfirmed && !m_reader && !m_stopping) {
             readOnce(0, Millis{0});
         }
     }
 }
 
-void PlatformDuty::awaitStart()
+void PlatformReader::awaitStart()
 {
     const auto spread = m_settings.seeds.empty() ? Millis{0} : m_settings.startSpread;
     const auto until = Clock::now() + jitter(spread);
     while (!m_stopping && Clock::now() < until) {
-        const bool fresh = m_control.confirmedAgo(Clock::now()) < internal::kFreshEnough;
+        const bool fresh = m_control.confirmedAgo(Clock::now()) < internal::kRecentConfirmation;
         if (fresh && m_control.stamp().version != 0) {
-            m_asked = true; // a peer has just had this from the platform
+            m_firstReadDone = true; // a peer has just read this version from the platform
             return;
         }
         m_watchWaker.sleep(internal::kStartPoll);
     }
 }
 
-void PlatformDuty::watchOnce()
+void PlatformReader::watchOnce()
 {
-    // Also past a version whose parts are still being read.
+    // Waits for a version newer than the one whose parts are still being read.
     readOnce(std::max(m_seenVersion, m_control.stamp().version), internal::kWatchWait);
 }
 
-void PlatformDuty::readOnce(std::uint64_t known, Millis wait)
+void PlatformReader::readOnce(std::uint64_t known, Millis wait)
 {
     auto manifest = m_client.readManifest(known, wait);
     if (m_stopping) {
@@ -133,7 +138,7 @@
         backOff();
         return;
     }
-    m_backOff = internal::kFirstBackOff;
+    m_backOff = internal::kInitialReadBackOff;
     if (!manifest.value()) {
         if (known == m_control.stamp().version) {
             m_control.push(PlatformConfirmedEvent{});
@@ -146,8 +151,8 @@
         m_fetcher.want(found);
         m_seenVersion = std::max(m_seenVersion, found.version);
         if (m_control.stamp().version == 0) {
-            // At a start the control duty decides only after peers were heard; reading again
-            // before that is useless.
+            // After a start the control service decides only once peers have answered, so that
+            // reading again before then has no effect.
             awaitDecision(stamp);
         }
         return;
@@ -160,14 +165,15 @@
     }
 }
 
-void PlatformDuty::awaitDecision(const ConfigStamp &stamp)
+void PlatformReader::awaitDecision(const ConfigStamp &stamp)
 {
-    for (int i = 0; i < internal::kDecisionPolls && m_control.isWanted(stamp) && !m_stopping; ++i) {
+    for (int i = 0; i < internal::kMaxDecisionPolls && m_control.isWanted(stamp) && !m_stopping;
+         ++i) {
         m_watchWaker.sleep(internal::kDecisionPoll);
     }
 }
 
-void PlatformDuty::readInstances()
+void PlatformReader::readInstances()
 {
     auto list = m_instances.readInstances(m_instanceIndex, internal::kInstanceWait);
     if (!list) {
@@ -183,16 +189,16 @@
     }
 }
 
-void PlatformDuty::backOff()
+void PlatformReader::backOff()
 {
     m_watchWaker.sleep(jitter(m_backOff));
-    m_backOff = std::min(internal::kLongestBackOff, m_backOff * 2);
+    m_backOff = std::min(internal::kMaxReadBackOff, m_backOff * 2);
 }
 
-Millis PlatformDuty::jitter(Millis most)
+Millis PlatformReader::jitter(Millis maxPause)
 {
-    return Millis{static_cast<std::int64_t>(
-            m_random.below(static_cast<std::uint64_t>(std::max<std::int64_t>(1, most.count()))))};
+    return Millis{static_cast<std::int64_t>(m_random.below(
+            static_cast<std::uint64_t>(std::max<std::int64_t>(1, maxPause.count()))))};
 }
 
 } // namespace celeryramp
--- a/src/celeryramp/node/routing_desk.cpp
+++ b/src/celeryramp/node/request_router.cpp
@@ -1,16 +1,16 @@
-#include "node/routing_desk.h"
+#include "node/request_router.h"
 
 namespace celeryramp {
 
-void RoutingDesk::onSnapshot(const Snapshot &snapshot, TimePoint now)
+void RequestRouter::onSnapshot(const Snapshot &snapshot, TimePoint now)
 {
     const std::lock_guard lock{m_mutex};
     m_zones.onSnapshot(snapshot, now);
 }
 
-std::string RoutingDesk::pick(const Snapshot &snapshot, const FleetView &fleet,
-                              const std::string &service, gsl::span<const std::string> excluded,
-                              TimePoint now)
+std::string RequestRouter::pick(const Snapshot &snapshot, const FleetView &fleet,
+                                const std::string &service, gsl::span<const std::string> excluded,
+                                TimePoint now)
 {
     const std::lock_guard lock{m_mutex};
     const auto isOpen = [&](const std::string &server) {
@@ -23,7 +23,7 @@
     return server;
 }
 
-void RoutingDesk::onAnswer(const std::string &server, const AnswerMessage &answer, TimePoint now)
+void RequestRouter::onAnswer(const std::string &server, const AnswerMessage &answer, TimePoint now)
 {
     const std::lock_guard lock{m_mutex};
     if (answer.outcome == Outcome::NotRun) {
@@ -35,26 +35,26 @@
     }
 }
 
-void RoutingDesk::onSilence(const std::string &server, TimePoint now)
+void RequestRouter::onNoAnswer(const std::string &server, TimePoint now)
 {
     const std::lock_guard lock{m_mutex};
     m_loads.failed(server, now);
 }
 
-void RoutingDesk::onFirstAttempt(const std::string &service)
+void RequestRouter::onFirstAttempt(const std::string &service)
 {
     const std::lock_guard lock{m_mutex};
     m_budget.onFirstAttempt(service);
 }
 
-bool RoutingDesk::mayRepeat(const std::string &service)
+bool RequestRouter::tryConsumeRetry(const std::string &service)
 {
     const std::lock_guard lock{m_mutex};
     return m_budget.trySpend(service);
 }
 
 std::vector<std::pair<std::string, double>>
-RoutingDesk::pressures(const Snapshot &snapshot, const std::string &service, TimePoint now) const
+RequestRouter::pressures(const Snapshot &snapshot, const std::string &service, TimePoint now) const
 {
     const std::lock_guard lock{m_mutex};
     std::vector<std::pair<std::string, double>> all;
--- a/src/celeryramp/node/routing_desk.h
+++ b/src/celeryramp/node/request_router.h
@@ -13,35 +13,35 @@
 
 namespace celeryramp {
 
-/*! @brief The routing decisions of one node, shared by the threads that carry calls. */
-class RoutingDesk
+/*! @brief Selects servers for the calls of one node. Thread-safe. */
+class RequestRouter
 {
 public:
-    RoutingDesk(std::string zone, std::uint64_t seed, Mechanisms mechanisms)
+    RequestRouter(std::string zone, std::uint64_t seed, Mechanisms mechanisms)
         : m_picker{std::move(zone), seed, mechanisms.zones}, m_mechanisms{mechanisms}
     { }
 
-    /*! @brief A configuration came in force. */
+    /*! @brief Applies a new configuration. */
     void onSnapshot(const Snapshot &snapshot, TimePoint now);
 
-    /*! @return Server to try next, counted as under way; empty when none is open. */
+    /*! @return Server to try next, counted as in flight; empty when no server is available. */
     [[nodiscard]] std::string pick(const Snapshot &snapshot, const FleetView &fleet,
                                    const std::string &service,
                                    gsl::span<const std::string> excluded, TimePoint now);
 
-    /*! @brief An attempt ended with a word of the gate. */
+    /*! @brief Records an attempt that the gate answered. */
     void onAnswer(const std::string &server, const AnswerMessage &answer, TimePoint now);
 
-    /*! @brief An attempt ended without a word of the gate. */
-    void onSilence(const std::string &server, TimePoint now);
+    /*! @brief Records an attempt that the gate did not answer. */
+    void onNoAnswer(const std::string &server, TimePoint now);
 
-    /*! @brief A first attempt is made. */
+    /*! @brief Records a first attempt, which adds to the retry budget. */
     void onFirstAttempt(const std::string &service);
 
-    /*! @return True when a call may be executed again. */
-    [[nodiscard]] bool mayRepeat(const std::string &service);
+    /*! @return True when the retry budget allows one more execution, which is then spent. */
+    [[nodiscard]] bool tryConsumeRetry(const std::string &service);
 
-    /*! @return Servers of a service with their pressure, for operators. */
+    /*! @return Servers of a service with their pressure, for the operator port. */
     [[nodiscard]] std::vector<std::pair<std::string, double>>
     pressures(const Snapshot &snapshot, const std::string &service, TimePoint now) const;
 
--- a/src/celeryramp/node/settings_reader.h
+++ b/src/celeryramp/node/settings_reader.h
@@ -14,43 +14,43 @@
 namespace celeryramp {
 
 /*!
- * @brief Reads checked values out of a TOML file and keeps the first error.
+ * @brief Reads and validates values of a TOML file and keeps the first error.
  * Keys are named `table.key`. Reads after an error return the fallback.
  */
 class SettingsReader
 {
 public:
-    /*! @brief Parses the file. An error is kept like that of a value. */
+    /*! @brief Parses the file. A parse error is kept like a value error. */
     explicit SettingsReader(std::string path);
 
-    /*! @return Text of a required key; it must not be empty. */
+    /*! @return String of a required key; it must not be empty. */
     [[nodiscard]] std::string text(const std::string &key);
 
-    /*! @return Text of an optional key that is one of the choices. */
+    /*! @return String of an optional key, which must be one of the choices. */
     [[nodiscard]] std::string choice(const std::string &key,
                                      std::initializer_list<const char *> choices,
                                      const std::string &fallback);
 
-    /*! @return A whole number of an optional key within a range. */
+    /*! @return Integer of an optional key within a range. */
     [[nodiscard]] std::int64_t integer(const std::string &key, std::int64_t low, std::int64_t high,
                                        std::int64_t fallback);
 
-    /*! @return A truth value of an optional key. */
+    /*! @return Boolean of an optional key. */
     [[nodiscard]] bool flag(const std::string &key, bool fallback);
 
-    /*! @return An IP number and port of a required key. */
+    /*! @return An IP address and port of a required key. */
     [[nodiscard]] Address address(const std::string &key);
 
-    /*! @return IP numbers and ports of an optional key. */
+    /*! @return IP addresses and ports of an optional key. */
     [[nodiscard]] std::vector<Address> addresses(const std::string &key);
 
-    /*! @return Texts of an optional key. */
+    /*! @return Strings of an optional key. */
     [[nodiscard]] std::vector<std::string> texts(const std::string &key);
 
     /*! @return Path of a required key; the file must be readable. Relative to the settings file. */
     [[nodiscard]] std::string file(const std::string &key);
 
-    /*! @return True when the key is there. */
+    /*! @return True when the key is present. */
     [[nodiscard]] bool has(const std::string &key) const;
 
     /*! @brief Records an error at a key. */
--- a/src/celeryramp/node/cell.h
+++ b/src/celeryramp/node/shared_value.h
@@ -5,19 +5,19 @@
 namespace celeryramp {
 
 /*!
- * @brief Holds an immutable value that one duty replaces and others read.
- * A reader keeps the value it took for as long as it likes.
+ * @brief Holds an immutable value that one thread replaces and others read.
+ * Readers share ownership, so that a value stays valid after it is replaced.
  */
 template <typename T>
-class Cell
+class SharedValue
 {
 public:
     using Pointer = std::shared_ptr<const T>;
 
-    Cell() = default;
-    explicit Cell(Pointer value) : m_value{std::move(value)} { }
+    SharedValue() = default;
+    explicit SharedValue(Pointer value) : m_value{std::move(value)} { }
 
-    /*! @return The present value; null before the first. */
+    /*! @return The current value; null before the first. */
     [[nodiscard]] Pointer get() const { return std::atomic_load(&m_value); }
 
     /*! @brief Replaces the value for all later readers. */
--- a/src/celeryramp/node/waiter_table.h
+++ b/src/celeryramp/node/waiter_table.h
@@ -15,8 +15,8 @@
 namespace celeryramp {
 
 /*!
- * @brief Threads that wait for replies by identity.
- * A reply that nobody waits for is dropped and counted: late, doubled and crossed ones end here.
+ * @brief Matches replies to waiting threads by request ID.
+ * Replies without a waiter, such as late or duplicate ones, are dropped and counted.
  */
 template <typename Reply>
 class WaiterTable
@@ -30,7 +30,7 @@
     };
 
 public:
-    /*! @brief The right to wait for one reply; given up when it ends. */
+    /*! @brief Registration for the replies to one ID. The destructor removes it. */
     class Ticket
     {
     public:
@@ -41,17 +41,17 @@
         Ticket(const Ticket &) = delete;
         Ticket &operator=(const Ticket &) = delete;
 
-        /*! @return Identity of the awaited reply. */
+        /*! @return ID of the awaited reply. */
         [[nodiscard]] std::uint64_t id() const noexcept { return m_id; }
 
-        /*! @brief Notes what the reply depends on, for `completeTagged`. */
+        /*! @brief Sets the tag that `completeTagged` selects by. */
         void tag(std::uint64_t tag)
         {
             const std::lock_guard lock{m_slot->mutex};
             m_slot->tag = tag;
         }
 
-        /*! @return The next reply, or nothing when none came in time. */
+        /*! @return The next reply, or nothing when none arrives in time. */
         [[nodiscard]] std::optional<Reply> wait(TimePoint until)
         {
             std::unique_lock lock{m_slot->mutex};
@@ -70,7 +70,7 @@
         std::shared_ptr<Slot> m_slot;
     };
 
-    /*! @return A ticket with a new identity. */
+    /*! @return A ticket with a new ID. */
     [[nodiscard]] Ticket open()
     {
         auto slot = std::make_shared<Slot>();
@@ -80,7 +80,7 @@
         return Ticket{*this, id, std::move(slot)};
     }
 
-    /*! @brief Hands a reply over. @return False when nobody waits for it. */
+    /*! @brief Delivers a reply. @return False when nobody waits for it. */
     bool complete(std::uint64_t id, Reply reply)
     {
         const auto slot = find(id);
@@ -93,7 +93,7 @@
         return true;
     }
 
-    /*! @brief Hands the same reply to all who wait with this tag. */
+    /*! @brief Delivers the same reply to all tickets with this tag. */
     void completeTagged(std::uint64_t tag, const Reply &reply)
     {
         for (const auto &slot : all()) {
--- a/test/node/document_fetcher.cpp
+++ b/test/node/document_fetcher.cpp
@@ -18,10 +18,10 @@
 using celeryramp::PlatformErrorCode;
 using celeryramp::Result;
 
-constexpr std::chrono::seconds kPatience{10};
+constexpr std::chrono::seconds kTimeout{10};
 
-/*! Holds each read of a part back until the test lets it go. */
-class HeldSource final : public celeryramp::PlatformSource
+/*! Blocks each read of a part until the test allows it. */
+class BlockingSource final : public celeryramp::PlatformSource
 {
 public:
     Result<std::optional<Manifest>, PlatformError> readManifest(std::uint64_t, Millis) override
@@ -37,7 +37,7 @@
         std::unique_lock lock{m_mutex};
         m_asked.push_back(hash);
         m_changed.notify_all();
-        m_changed.wait_for(lock, kPatience, [this] { return m_allowed > 0; });
+        m_changed.wait_for(lock, kTimeout, [this] { return m_allowed > 0; });
         --m_allowed;
         if (hash == "missing") {
             return PlatformError{PlatformErrorCode::Refused, "status 404"};
@@ -54,7 +54,7 @@
     std::vector<std::string> awaitAsked(std::size_t n)
     {
         std::unique_lock lock{m_mutex};
-        m_changed.wait_for(lock, kPatience, [&] { return m_asked.size() >= n; });
+        m_changed.wait_for(lock, kTimeout, [&] { return m_asked.size() >= n; });
         return m_asked;
     }
 
@@ -88,7 +88,7 @@
     std::vector<std::uint64_t> awaitVersions(std::size_t n)
     {
         std::unique_lock lock{m_mutex};
-        m_changed.wait_for(lock, kPatience, [&] { return m_versions.size() >= n; });
+        m_changed.wait_for(lock, kTimeout, [&] { return m_versions.size() >= n; });
         return m_versions;
     }
 
@@ -101,7 +101,7 @@
 
 struct Site
 {
-    HeldSource source;
+    BlockingSource source;
     Target target;
     celeryramp::DocumentFetcher fetcher{source, target, 7};
 
--- a/test/node/node_settings.cpp
+++ b/test/node/node_settings.cpp
@@ -54,7 +54,7 @@
         return loadNodeSettings(path.string());
     }
 
-    /*! Error without the folder's own path. */
+    /*! Error text without the path of the temporary folder. */
     [[nodiscard]] std::string errorOf(const std::string &text) const
     {
         const auto result = load(text);
--- a/test/node/waiter_table.cpp
+++ b/test/node/waiter_table.cpp
@@ -6,7 +6,7 @@
 
 using namespace celeryramp;
 
-TEST_CASE("a reply reaches the one who waits for it")
+TEST_CASE("a reply reaches the ticket with its ID")
 {
     WaiterTable<int> table;
     auto one = table.open();
@@ -17,7 +17,7 @@
     REQUIRE_FALSE(one.wait(Clock::now()));
 }
 
-TEST_CASE("replies that nobody waits for are counted")
+TEST_CASE("replies without a waiter are counted")
 {
     WaiterTable<int> table;
     std::uint64_t id = 0;
@@ -29,7 +29,7 @@
     REQUIRE(table.unclaimed() == 1);
 }
 
-TEST_CASE("all who depend on a lost link are told, and no others")
+TEST_CASE("a tagged reply reaches only the tickets with that tag")
 {
     WaiterTable<int> table;
     auto one = table.open();
