--- a/src/celeryramp/node/call_handler.cpp
+++ b/src/celeryramp/node/call_handler.cpp
@@ -15,8 +15,8 @@
 constexpr std::uint32_t kMaxCallDepth = 18;
 constexpr int kMaxAttempts = 5;
 constexpr int kAttemptsBeforeQueueing = 3;
-constexpr Millis kCancelGracePeriod{
-        30}; /*!< Wait after a cancel for the gate to answer `not run`. */
+/*! Wait after a cancel for the gate to answer `not run`. */
+constexpr Millis kCancelGracePeriod{30};
 constexpr std::size_t kRequestIdBytes = 12;
 constexpr std::size_t kMaxIdempotencyKey = 256;
 constexpr std::size_t kMaxStoredAnswer = 16 * 1024;
--- a/src/celeryramp/node/call_handler.h
+++ b/src/celeryramp/node/call_handler.h
@@ -18,7 +18,7 @@
 
 namespace celeryramp {
 
-/*! @brief Node state that the request handler depends on. */
+/*! @brief Node state that the call handler depends on. */
 class NodeStatus
 {
 public:
--- a/src/celeryramp/node/call_state.h
+++ b/src/celeryramp/node/call_state.h
@@ -25,8 +25,7 @@
     const Route *route = nullptr;
     const WorkClass *workClass = nullptr;
     const ClientAccount *account = nullptr; /*!< Null on open routes, which need no key. */
-    std::string contextToken; /*!< Context token of the call that caused this one; empty for
-                                 external calls. */
+    std::string contextToken; /*!< Of the causing call; empty for external calls. */
     std::string idempotencyKey; /*!< Key sent by the caller; empty when absent. */
     TimePoint startedAt;
     TimePoint deadline;
--- a/src/celeryramp/node/control_service.cpp
+++ b/src/celeryramp/node/control_service.cpp
@@ -17,8 +17,8 @@
 constexpr Millis kBootstrapPullInterval{250};
 constexpr Millis kRumourLifetime{600'000};
 constexpr std::size_t kObservers = 3;
-constexpr std::uint64_t kHeartbeatsPerCrossZone
-        = 3; /*!< Every third heartbeat also goes to other zones. */
+/*! Every third heartbeat also goes to other zones. */
+constexpr std::uint64_t kHeartbeatsPerCrossZone = 3;
 constexpr std::size_t kPeersAskedAtStart = 3;
 constexpr std::size_t kPeersKnownAtStart = 8;
 constexpr std::size_t kLoggedDigestLength = 12;
@@ -194,8 +194,8 @@
 void ControlService::handle(const PlatformDocumentEvent &event, TimePoint now)
 {
     if (mustWaitForPeers(now)) {
-        m_deferredDocument
-                = event.document; // the platform may be stale, and peers may have a newer version
+        // The platform may be stale, and peers may have a newer version.
+        m_deferredDocument = event.document;
         return;
     }
     if (m_distributor.onPlatformDocument(event.document, usable(), now, m_out)) {
--- a/src/celeryramp/node/control_service.h
+++ b/src/celeryramp/node/control_service.h
@@ -61,7 +61,7 @@
     void start();
     void stop();
 
-    /*! @brief Queues an event. @return False when the ring is full. */
+    /*! @brief Queues an event. @return False when the queue is full. */
     bool push(ControlEvent event);
 
     /*! @return Stamp of the configuration in force. */
@@ -123,8 +123,8 @@
     BoundedRing<ControlEvent> m_ring;
     Counter &m_pauses;
     Counter &m_suspicions;
-    mutable std::mutex
-            m_mutex; /*!< Guards the state read by the operator port and the platform reader. */
+    /*! Guards the state read by the operator port and the platform reader. */
+    mutable std::mutex m_mutex;
     Distributor m_distributor;
     RumourMill m_rumours;
     MembershipView m_view;
@@ -134,8 +134,8 @@
     std::uint64_t m_listIndex = 0;
     std::uint64_t m_fleetDigest = 0;
     std::uint64_t m_loggedRejections = 0;
-    std::vector<std::string>
-            m_knownPeers; /*!< Peers to pull from until a configuration is in force. */
+    /*! Peers to pull from until a configuration is in force. */
+    std::vector<std::string> m_knownPeers;
     std::size_t m_bootstrapPulls = 0;
     std::size_t m_peersAsked = 0;
     std::atomic<bool> m_peerAnswered{false};
@@ -143,10 +143,10 @@
     bool m_superseded = false;
     ReaderRole m_role = ReaderRole::None;
     std::uint64_t m_heartbeats = 0;
-    std::chrono::system_clock::time_point
-            m_inForceSince; /*!< Wall clock, for the operator port only. */
-    std::optional<ConfigDocument>
-            m_deferredDocument; /*!< Platform document deferred until peers have answered. */
+    /*! Wall clock, for the operator port only. */
+    std::chrono::system_clock::time_point m_inForceSince;
+    /*! Platform document deferred until peers have answered. */
+    std::optional<ConfigDocument> m_deferredDocument;
     TimePoint m_startedAt;
     TimePoint m_lastTick;
     WakeGuard m_wakeGuard;
--- a/src/celeryramp/node/ledger_service.cpp
+++ b/src/celeryramp/node/ledger_service.cpp
@@ -9,10 +9,10 @@
 constexpr std::size_t kLedgerRing = 16384;
 constexpr Millis kLedgerTick{200};
 constexpr Millis kRecoveryInterval{1000};
-constexpr Millis kMintResumeDelay{
-        3000}; /*!< Time after a pause for notice of a successor to arrive. */
-constexpr Millis kMinPauseForSuccessor{
-        3000}; /*!< Shortest pause after which a successor may exist. */
+/*! Time after a pause for notice of a successor to arrive. */
+constexpr Millis kMintResumeDelay{3000};
+/*! Shortest pause after which a successor may exist. */
+constexpr Millis kMinPauseForSuccessor{3000};
 
 } // namespace internal
 
--- a/src/celeryramp/node/ledger_service.h
+++ b/src/celeryramp/node/ledger_service.h
@@ -30,8 +30,7 @@
     void start();
     void stop();
 
-    /*! @brief Queues a message for the minter or the ledger. @return False when the ring is full.
-     */
+    /*! @brief Queues a message. @return False when the queue is full. */
     bool push(LinkId link, Message message);
 
     /*! @brief Applies a new configuration. */
--- a/src/celeryramp/node/node.cpp
+++ b/src/celeryramp/node/node.cpp
@@ -16,8 +16,8 @@
 
 constexpr Millis kPeerAnswerWait{2000};
 constexpr Millis kPlatformAnswerWait{12'000};
-constexpr Millis kLeaveAnnouncementDelay{
-        500}; /*!< Lets peers learn that the node leaves before its listeners close. */
+/*! Lets peers learn that the node leaves before its listeners close. */
+constexpr Millis kLeaveAnnouncementDelay{500};
 constexpr Millis kMaxIdleWait{30'000};
 constexpr Millis kIdlePoll{20};
 constexpr Millis kCallerKeepAlive{5000};
--- a/src/celeryramp/node/node.h
+++ b/src/celeryramp/node/node.h
@@ -45,8 +45,7 @@
     /*! @brief Starts all services and listeners. */
     [[nodiscard]] Result<bool, NodeError> start();
 
-    /*! @brief Announces that the node leaves, waits up to 30 s per phase for calls in flight, then
-     * stops. */
+    /*! @brief Announces that the node leaves, waits for calls in flight, then stops. */
     void leave();
 
     /*! @return True when another process has taken this node's slot. */
--- a/src/celeryramp/node/node_settings.h
+++ b/src/celeryramp/node/node_settings.h
@@ -44,8 +44,8 @@
     LogLevel logLevel = LogLevel::Info;
     bool faultsAllowed = false; /*!< Allows the operator port to cut links, for tests. */
     Mechanisms mechanisms; /*!< All enabled except in tests. */
-    DistributionMode distribution
-            = DistributionMode::Tree; /*!< Other modes are baselines for comparison. */
+    /*! Other modes are baselines for comparison. */
+    DistributionMode distribution = DistributionMode::Tree;
 };
 
 /*! @brief Error in a settings file, as one line with its position. */
--- a/src/celeryramp/node/operator_port.h
+++ b/src/celeryramp/node/operator_port.h
@@ -36,9 +36,8 @@
 
 /*!
  * @brief HTTP server for operators: `/state`, `/status`, `/servers`, `/explain`, `/metrics`,
- * `/healthz`,
- * `/readyz`, `PUT /log-level`, and `PUT /faults` when the settings allow it. Requires a token
- * unless it listens on loopback.
+ * `/healthz`, `/readyz`, `PUT /log-level`, and `PUT /faults` when the settings allow it. Requires
+ * a token unless it listens on loopback.
  */
 class OperatorPort
 {
--- a/src/celeryramp/node/platform_reader.cpp
+++ b/src/celeryramp/node/platform_reader.cpp
@@ -13,8 +13,8 @@
 constexpr Millis kInitialReadBackOff{250};
 constexpr Millis kMaxReadBackOff{10'000};
 constexpr Millis kStaleBackOff{1000};
-constexpr Millis kConfirmationTimeout{
-        15'000}; /*!< Reads the platform itself after this time without a confirmation. */
+/*! Reads the platform itself after this time without a confirmation. */
+constexpr Millis kConfirmationTimeout{15'000};
 constexpr Millis kConfirmationCheckInterval{10'000};
 /*! Pause between two reads of the instance list, and how long the platform delays the response
  *  while it is unchanged. A list of 1,400 instances is 56 KB, so it is sent only after a change. */
--- a/test/node/document_fetcher.cpp
+++ b/test/node/document_fetcher.cpp
@@ -115,7 +115,7 @@
 
 } // namespace
 
-TEST_CASE("A version that is replaced while its parts are read costs the next one a single part")
+TEST_CASE("A replaced version delays the next one by a single part")
 {
     Site site;
     site.fetcher.want({1, {{"accounts", "a1"}, {"keys", "k1"}, {"zones", "z1"}}});
@@ -127,7 +127,7 @@
     CHECK(site.target.document().parts.at("accounts") == "bytes of a1");
 }
 
-TEST_CASE("Parts that are in force already are not read again")
+TEST_CASE("Parts that are already in force are not read again")
 {
     Site site;
     site.fetcher.want({1, {{"accounts", "a1"}, {"keys", "k1"}}});
@@ -139,7 +139,7 @@
     CHECK(site.source.awaitAsked(3) == std::vector<std::string>{"a1", "k1", "k2"});
 }
 
-TEST_CASE("A version with a part that cannot be read gives way to the next one")
+TEST_CASE("A version with an unreadable part is replaced by the next one")
 {
     Site site;
     site.fetcher.want({1, {{"accounts", "missing"}}});
@@ -150,7 +150,7 @@
     CHECK(site.target.awaitVersions(1) == std::vector<std::uint64_t>{2});
 }
 
-TEST_CASE("An older version is never wanted again")
+TEST_CASE("A request for an older version is ignored")
 {
     Site site;
     site.source.allow(100);
--- a/test/node/node_settings.cpp
+++ b/test/node/node_settings.cpp
@@ -76,7 +76,7 @@
 
 } // namespace
 
-TEST_CASE("good settings are read, with defaults for what is not said")
+TEST_CASE("valid settings are read and missing keys take their defaults")
 {
     const Folder folder;
     const auto settings = folder.load(kGood);
