--- a/src/celeryramp/config/acceptance.cpp
+++ b/src/celeryramp/config/acceptance.cpp
@@ -19,12 +19,12 @@
     if (stamp == m_stamp || stamp.version < m_stamp.version) {
         return ConfigError{ConfigErrorCode::Stale, "manifest", "/version",
                            "version " + std::to_string(stamp.version)
-                                   + " is not above the one in force"};
+                                   + " is not newer than the one in force"};
     }
     if (!isNewer(stamp)) {
         ConfigError error{ConfigErrorCode::Conflict, "manifest", "/version",
                           "version " + std::to_string(stamp.version)
-                                  + " is in force with other content"};
+                                  + " is already in force with different content"};
         recordRejection(stamp, error, now);
         return error;
     }
--- a/src/celeryramp/config/acceptance.h
+++ b/src/celeryramp/config/acceptance.h
@@ -11,7 +11,7 @@
 
 namespace celeryramp {
 
-/*! @brief A version that was refused, kept for operators. */
+/*! @brief Describes a rejected document, kept so that operators can see why it was rejected. */
 struct Rejection
 {
     ConfigStamp stamp;
@@ -20,45 +20,50 @@
 };
 
 /*!
- * @brief Decides which configuration is in force; only ever moves upwards.
+ * @brief Decides which configuration is in force.
  *
- * Order is total: version, then digest. A document is validated wholly before anything changes,
- * so that a bad one changes nothing. Does no I/O and owns no thread.
+ * Configurations are totally ordered by version, then by digest, and the configuration in force
+ * is only ever replaced by a higher one. A document is validated completely before any state
+ * changes, so an invalid document has no effect on the configuration in force. The class does no
+ * I/O and owns no thread.
  */
 class Acceptance
 {
 public:
     /*!
-     * @brief Offers a complete document.
-     * @param document All parts. @param now Present time.
-     * @return The snapshot now in force, or why the document was refused: `Stale` when it is not
-     * above the one in force, `Conflict` when the version is in force with a higher digest, else
-     * the validation error.
+     * @brief Validates a document and puts it in force if it is newer than the current one.
+     * @param document The manifest and all parts. @param now Current time.
+     * @return The snapshot now in force, or the reason for the rejection: `Stale` if the version
+     * is lower than the one in force or the document is the one in force, `Conflict` if the same
+     * version is in force with a higher digest, otherwise the validation error. `Stale` is not
+     * recorded in `rejections()`.
      */
     [[nodiscard]] Result<SnapshotPtr, ConfigError> offer(ConfigDocument document, TimePoint now);
 
-    /*! @return True when a document with this stamp would move the order upwards. */
+    /*! @return True if the stamp is higher than the one in force. */
     [[nodiscard]] bool isNewer(const ConfigStamp &stamp) const noexcept;
 
-    /*! @return True when this very document was refused before; it is not worth fetching again. */
+    /*! @return True if a document with this stamp is among the recorded rejections; fetching it
+     * again would only reject it again. */
     [[nodiscard]] bool wasRejected(const ConfigStamp &stamp) const noexcept;
 
-    /*! @return The snapshot in force; null before the first. */
+    /*! @return The snapshot in force; null before the first accepted document. */
     [[nodiscard]] const SnapshotPtr &inForce() const noexcept { return m_inForce; }
 
-    /*! @return The document in force, for peers that ask for it. */
+    /*! @return The document in force, which is sent to peers that request it. */
     [[nodiscard]] const ConfigDocument &document() const noexcept { return m_document; }
 
-    /*! @return Stamp in force; version 0 before the first. */
+    /*! @return Stamp in force; version 0 before the first accepted document. */
     [[nodiscard]] const ConfigStamp &stamp() const noexcept { return m_stamp; }
 
-    /*! @return Earlier documents that deltas can start from, oldest first. */
+    /*! @return Up to 8 previously accepted documents that can be the base of a delta, oldest first.
+     */
     [[nodiscard]] const std::deque<ConfigDocument> &history() const noexcept { return m_history; }
 
-    /*! @return Refused documents, oldest first; bounded. */
+    /*! @return The last 16 rejections, oldest first. */
     [[nodiscard]] const std::deque<Rejection> &rejections() const noexcept { return m_rejections; }
 
-    /*! @return When the present version came in force. */
+    /*! @return Time at which the current document was accepted. */
     [[nodiscard]] TimePoint acceptedAt() const noexcept { return m_acceptedAt; }
 
 private:
--- a/src/celeryramp/config/availability_zone.h
+++ b/src/celeryramp/config/availability_zone.h
@@ -4,10 +4,10 @@
 
 namespace celeryramp {
 
-/*! @brief Whether a zone takes new work. */
+/*! @brief Whether a zone accepts new requests. */
 enum class ZoneStatus { InService, OutOfService };
 
-/*! @brief A part of the site that fails and is maintained as one. */
+/*! @brief A group of servers that shares failures and is taken out of service as a unit. */
 struct AvailabilityZone
 {
     std::string name;
--- a/src/celeryramp/config/backend_server.h
+++ b/src/celeryramp/config/backend_server.h
@@ -6,15 +6,15 @@
 
 namespace celeryramp {
 
-/*! @brief One instance of a service and the node in its slot. */
+/*! @brief One instance of a service and the addresses of the node that runs beside it. */
 struct BackendServer
 {
     std::string name;
     std::string service;
     std::string zone;
-    Address node; /*!< Where the node of this server listens for its peers. */
-    Address operatorPort; /*!< Where the node of this server answers operators. */
-    int slots = 0; /*!< Requests the server runs at a time when warm. */
+    Address node; /*!< Address on which this server's node accepts peer connections. */
+    Address operatorPort; /*!< Address of the operator interface of this server's node. */
+    int slots = 0; /*!< Number of requests that the server processes concurrently when warm. */
 };
 
 } // namespace celeryramp
--- a/src/celeryramp/config/client_account.h
+++ b/src/celeryramp/config/client_account.h
@@ -4,11 +4,11 @@
 
 namespace celeryramp {
 
-/*! @brief A customer of the mesh with its fleet-wide limits. */
+/*! @brief An account of callers and its rate limit across all nodes. */
 struct ClientAccount
 {
     std::string name;
-    double rate = 0.0; /*!< Calls per second over all instances. */
+    double rate = 0.0; /*!< Calls per second across all instances. */
     double burst = 0.0; /*!< Calls admitted above the rate in any window. */
 };
 
--- a/src/celeryramp/config/config_document.h
+++ b/src/celeryramp/config/config_document.h
@@ -7,13 +7,13 @@
 
 namespace celeryramp {
 
-/*! @brief A manifest with the text of all its parts, not yet validated. */
+/*! @brief A manifest and the text of its parts, not validated. */
 struct ConfigDocument
 {
     Manifest manifest;
-    std::map<std::string, std::string> parts; /*!< Part name to published bytes. */
+    std::map<std::string, std::string> parts; /*!< Published bytes by part name. */
 
-    /*! @return Position of this document in the order of configurations. */
+    /*! @return Stamp that orders this document among all configurations. */
     [[nodiscard]] ConfigStamp stamp() const { return {manifest.version, manifest.digest()}; }
 };
 
--- a/src/celeryramp/config/config_error.h
+++ b/src/celeryramp/config/config_error.h
@@ -4,21 +4,21 @@
 
 namespace celeryramp {
 
-/*! @brief Why a configuration is not acceptable. */
+/*! @brief Reason for which a configuration is rejected. */
 enum class ConfigErrorCode {
-    Syntax, /*!< A part is no JSON document. */
+    Syntax, /*!< The manifest or a part is not valid JSON. */
     MissingPart, /*!< The manifest or the document lacks a part. */
-    HashMismatch, /*!< A part's bytes differ from the manifest's hash. */
-    TooLarge, /*!< A part exceeds the limit. */
-    WrongType, /*!< A member has the wrong type or is absent. */
-    OutOfRange, /*!< A value lies outside its accepted range. */
-    UnknownMember, /*!< A member that the format does not define. */
-    DanglingReference, /*!< A name refers to nothing in this configuration. */
-    Stale, /*!< Not above the version in force. */
-    Conflict /*!< The version in force was published again with other content. */
+    HashMismatch, /*!< The bytes of a part do not match the hash in the manifest. */
+    TooLarge, /*!< A part is larger than `kMaxPartBytes`. */
+    WrongType, /*!< A member is missing or has the wrong type. */
+    OutOfRange, /*!< A value is outside its accepted range or set. */
+    UnknownMember, /*!< The format does not define this member. */
+    DanglingReference, /*!< A name refers to an entity that this configuration does not define. */
+    Stale, /*!< The document is not newer than the one in force. */
+    Conflict /*!< The version is already in force with different content. */
 };
 
-/*! @brief Error of the config layer: what, where and why. */
+/*! @brief Describes why and where a configuration is invalid. */
 struct ConfigError
 {
     ConfigErrorCode code = ConfigErrorCode::Syntax;
@@ -26,7 +26,7 @@
     std::string place; /*!< JSON pointer inside the part. */
     std::string reason;
 
-    /*! @return `part place: reason` on one line. */
+    /*! @return The error as `part place: reason` on one line. */
     [[nodiscard]] std::string text() const { return part + " " + place + ": " + reason; }
 };
 
--- a/src/celeryramp/config/delta.cpp
+++ b/src/celeryramp/config/delta.cpp
@@ -19,7 +19,7 @@
     return bytes;
 }
 
-[[nodiscard]] Json patchOf(const std::string &base, const std::string &target)
+[[nodiscard]] Json makePartChange(const std::string &base, const std::string &target)
 {
     const auto from = Json::parse(base, nullptr, false);
     const auto to = Json::parse(target, nullptr, false);
@@ -29,14 +29,14 @@
     return {{"patch", Json::diff(from, to)}};
 }
 
-[[nodiscard]] std::string textOr(const std::map<std::string, std::string> &parts,
-                                 const std::string &name)
+[[nodiscard]] std::string partOrEmpty(const std::map<std::string, std::string> &parts,
+                                      const std::string &name)
 {
     const auto it = parts.find(name);
     return it == parts.end() ? std::string{} : it->second;
 }
 
-[[nodiscard]] std::string rebuild(const std::string &base, const Json &change)
+[[nodiscard]] std::string applyPartChange(const std::string &base, const Json &change)
 {
     if (const auto whole = change.find("whole"); whole != change.end()) {
         return whole->get<std::string>();
@@ -50,9 +50,9 @@
 {
     auto changes = internal::Json::object();
     for (const auto &[name, bytes] : target.parts) {
-        const auto from = internal::textOr(base.parts, name);
+        const auto from = internal::partOrEmpty(base.parts, name);
         if (from != bytes) {
-            changes[name] = internal::patchOf(from, bytes);
+            changes[name] = internal::makePartChange(from, bytes);
         }
     }
     return internal::toBytes({{"manifest", manifestText(target.manifest)}, {"changes", changes}});
@@ -68,10 +68,11 @@
         }
         ConfigDocument document{manifest.value(), base.parts};
         for (const auto &[name, change] : json.at("changes").items()) {
-            document.parts[name] = internal::rebuild(internal::textOr(base.parts, name), change);
+            document.parts[name]
+                    = internal::applyPartChange(internal::partOrEmpty(base.parts, name), change);
         }
         for (const auto &[name, hash] : document.manifest.parts) {
-            if (sha256Hex(internal::textOr(document.parts, name)) != hash) {
+            if (sha256Hex(internal::partOrEmpty(document.parts, name)) != hash) {
                 return std::nullopt;
             }
         }
--- a/src/celeryramp/config/fwd.h
+++ b/src/celeryramp/config/fwd.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /*! @file
- *  Forward declarations of the config module: model, validation and acceptance of published
+ *  Forward declarations of the config module, which models, validates and accepts published
  *  configurations.
  */
 
--- a/src/celeryramp/config/json_reader.cpp
+++ b/src/celeryramp/config/json_reader.cpp
@@ -28,7 +28,7 @@
     if (m_failed) {
         return nullptr;
     }
-    m_read.insert(name);
+    m_readMembers.insert(name);
     const auto it = m_object.find(name);
     if (it == m_object.end()) {
         fail(ConfigErrorCode::WrongType, name, "is missing");
@@ -90,7 +90,7 @@
         return low;
     }
     if (!value->is_number_integer()) {
-        fail(ConfigErrorCode::WrongType, name, "must be a whole number");
+        fail(ConfigErrorCode::WrongType, name, "must be an integer");
         return low;
     }
     const auto n = value->get<std::int64_t>();
@@ -143,8 +143,8 @@
         return;
     }
     for (const auto &[name, value] : m_object.items()) {
-        if (m_read.count(name) == 0) {
-            fail(ConfigErrorCode::UnknownMember, name, "is not known here");
+        if (m_readMembers.count(name) == 0) {
+            fail(ConfigErrorCode::UnknownMember, name, "is not a known member");
             return;
         }
     }
--- a/src/celeryramp/config/json_reader.h
+++ b/src/celeryramp/config/json_reader.h
@@ -12,47 +12,53 @@
 namespace celeryramp {
 
 /*!
- * @brief Reads typed members of one JSON object and remembers the first failure.
- * Later reads after a failure return neutral values; the caller tests `error()` at the end.
+ * @brief Reads typed members of one JSON object and records the first error.
+ * After an error, further reads return default values. The caller calls `finish()` after the last
+ * read and then checks `ok()`.
  */
 class JsonReader
 {
 public:
-    /*! @param object The object. @param part Part name. @param place JSON pointer of the object. */
+    /*!
+     * @param object The JSON object; must outlive the reader.
+     * @param part Part name for errors.
+     * @param place JSON pointer of the object for errors.
+     */
     JsonReader(const nlohmann::json &object, std::string part, std::string place);
 
-    /*! @return A non-empty string member. */
+    /*! @return The value of a string member, which must not be empty. */
     [[nodiscard]] std::string text(const char *name);
 
-    /*! @return A string member that is one of the choices; its index. */
+    /*! @return Index of the choice that equals the string member. */
     [[nodiscard]] std::size_t choice(const char *name, std::initializer_list<const char *> choices);
 
-    /*! @return A number member within [low, high]. */
+    /*! @return The value of a numeric member within [low, high]. */
     [[nodiscard]] double number(const char *name, double low, double high);
 
-    /*! @return A whole number member within [low, high]. */
+    /*! @return The value of an integer member within [low, high]. */
     [[nodiscard]] std::int64_t integer(const char *name, std::int64_t low, std::int64_t high);
 
-    /*! @return A whole number member within [low, high], or the fallback when absent. */
+    /*! @return The value of an integer member within [low, high], or the fallback if it is absent.
+     */
     [[nodiscard]] std::int64_t integerOr(const char *name, std::int64_t low, std::int64_t high,
                                          std::int64_t fallback);
 
-    /*! @return An object member. */
+    /*! @return An object member, or an empty object after an error. */
     [[nodiscard]] const nlohmann::json &object(const char *name);
 
-    /*! @return An array member. */
+    /*! @return An array member, or an empty array after an error. */
     [[nodiscard]] const nlohmann::json &array(const char *name);
 
-    /*! @brief Records a failure at a member unless one is recorded already. */
+    /*! @brief Records an error at a member, unless an error is already recorded. */
     void fail(ConfigErrorCode code, const std::string &name, std::string reason);
 
-    /*! @brief Records a failure for each member that was not read. */
+    /*! @brief Records an `UnknownMember` error if the object has a member that was not read. */
     void finish();
 
-    /*! @return True while nothing failed. */
+    /*! @return True if no error is recorded. */
     [[nodiscard]] bool ok() const noexcept { return !m_failed; }
 
-    /*! @return The first failure; meaningful when not ok. */
+    /*! @return The first error; valid only if `ok()` is false. */
     [[nodiscard]] const ConfigError &error() const noexcept { return m_error; }
 
 private:
@@ -61,7 +67,7 @@
     const nlohmann::json &m_object;
     std::string m_part;
     std::string m_place;
-    std::set<std::string> m_read;
+    std::set<std::string> m_readMembers;
     ConfigError m_error;
     bool m_failed = false;
 };
--- a/src/celeryramp/config/limits.h
+++ b/src/celeryramp/config/limits.h
@@ -6,9 +6,9 @@
 
 namespace celeryramp {
 
-/*! @brief Largest size of one published part in bytes. */
+/*! @brief Maximum size of a published part in bytes. */
 inline constexpr std::size_t kMaxPartBytes = 1024 * 1024;
-/*! @brief Names of all parts of a configuration, in reading order. */
+/*! @brief Names of all parts of a configuration. */
 inline constexpr std::array<std::string_view, 5> kPartNames{"zones", "services", "accounts", "keys",
                                                             "servers"};
 
--- a/src/celeryramp/config/manifest.h
+++ b/src/celeryramp/config/manifest.h
@@ -6,17 +6,18 @@
 
 namespace celeryramp {
 
-/*! @brief Names a configuration version and the SHA-256 of each of its parts. */
+/*! @brief Version of a configuration and the SHA-256 of each of its parts. */
 struct Manifest
 {
     std::uint64_t version = 0;
-    std::map<std::string, std::string> parts; /*!< Part name to hexadecimal SHA-256. */
+    std::map<std::string, std::string> parts; /*!< Hexadecimal SHA-256 by part name. */
 
-    /*! @return SHA-256 over version and parts; equal for equal manifests. */
+    /*! @return Hexadecimal SHA-256 of the version and the part hashes; equal for equal manifests.
+     */
     [[nodiscard]] std::string digest() const;
 };
 
-/*! @brief Position in the total order of configurations: version first, then digest. */
+/*! @brief Identifies a configuration and orders it by version, then by digest. */
 struct ConfigStamp
 {
     std::uint64_t version = 0;
--- a/src/celeryramp/config/parse.cpp
+++ b/src/celeryramp/config/parse.cpp
@@ -12,21 +12,21 @@
 namespace internal {
 
 constexpr double kMaxRate = 1e7;
-constexpr std::int64_t kMaxMillis = 600'000;
-constexpr std::int64_t kMaxFreshness = 86'400'000;
+constexpr std::int64_t kMaxDurationMs = 600'000;
+constexpr std::int64_t kMaxKeyFreshnessMs = 86'400'000;
 constexpr std::int64_t kMaxSlots = 4096;
 constexpr std::size_t kHashDigits = 64;
 
 using Json = nlohmann::json;
 using MaybeError = std::optional<ConfigError>;
 
-[[nodiscard]] MaybeError outcomeOf(JsonReader &reader)
+[[nodiscard]] MaybeError finishReading(JsonReader &reader)
 {
     reader.finish();
     return reader.ok() ? std::nullopt : MaybeError{reader.error()};
 }
 
-/*! Calls `read(name, reader, model)` for each member of an object of objects. */
+/*! Calls `read(name, reader)` for each member of an object of objects; stops at the first error. */
 template <typename Read>
 [[nodiscard]] MaybeError forEachEntry(const Json &entries, const std::string &part,
                                       const std::string &place, Read read)
@@ -39,7 +39,7 @@
             reader.fail(ConfigErrorCode::OutOfRange, "", "a name must not be empty");
         }
         read(name, reader);
-        if (auto error = outcomeOf(reader)) {
+        if (auto error = finishReading(reader)) {
             return error;
         }
     }
@@ -50,7 +50,7 @@
 {
     JsonReader top{json, "zones", ""};
     const auto &zones = top.object("zones");
-    if (auto error = outcomeOf(top)) {
+    if (auto error = finishReading(top)) {
         return error;
     }
     return forEachEntry(zones, "zones", "/zones", [&](const auto &name, auto &reader) {
@@ -67,13 +67,13 @@
 {
     WorkClass workClass;
     workClass.name = name;
-    workClass.latency = Millis{reader.integer("latency_ms", 1, kMaxMillis)};
+    workClass.latency = Millis{reader.integer("latency_ms", 1, kMaxDurationMs)};
     workClass.success = reader.number("success", 0.0, 1.0);
     workClass.repeat = reader.choice("repeat", {"idempotent", "at-most-once"}) == 0
             ? RepeatSafety::Idempotent
             : RepeatSafety::AtMostOnce;
-    workClass.deadline = Millis{reader.integer("deadline_ms", 1, kMaxMillis)};
-    workClass.keyFreshness = Millis{reader.integerOr("key_freshness_ms", 0, kMaxFreshness, 0)};
+    workClass.deadline = Millis{reader.integer("deadline_ms", 1, kMaxDurationMs)};
+    workClass.keyFreshness = Millis{reader.integerOr("key_freshness_ms", 0, kMaxKeyFreshnessMs, 0)};
     if (workClass.deadline < workClass.latency) {
         reader.fail(ConfigErrorCode::OutOfRange, "deadline_ms", "must not be below latency_ms");
     }
@@ -89,11 +89,12 @@
     route.access
             = static_cast<RouteAccess>(reader.choice("access", {"account", "open", "internal"}));
     if (route.path.size() < 2 || route.path.front() != '/' || route.path.back() == '/') {
-        reader.fail(ConfigErrorCode::OutOfRange, "path", "must be / and whole segments");
+        reader.fail(ConfigErrorCode::OutOfRange, "path",
+                    "must start with / and a segment and must not end with /");
     }
-    const auto same = [&](const Route &other) { return other.path == route.path; };
-    if (std::any_of(model.routes.begin(), model.routes.end(), same)) {
-        reader.fail(ConfigErrorCode::OutOfRange, "path", "is there twice");
+    const auto hasSamePath = [&](const Route &other) { return other.path == route.path; };
+    if (std::any_of(model.routes.begin(), model.routes.end(), hasSamePath)) {
+        reader.fail(ConfigErrorCode::OutOfRange, "path", "is already used by another route");
     }
     model.routes.push_back(std::move(route));
 }
@@ -104,7 +105,7 @@
     const auto &classes = top.object("classes");
     const auto &services = top.object("services");
     const auto &routes = top.array("routes");
-    if (auto error = outcomeOf(top)) {
+    if (auto error = finishReading(top)) {
         return error;
     }
     auto error = forEachEntry(classes, "services", "/classes", [&](const auto &name, auto &reader) {
@@ -124,7 +125,7 @@
     for (const auto &value : routes) {
         JsonReader reader{value, "services", "/routes/" + std::to_string(i++)};
         readRoute(reader, model);
-        if (error = outcomeOf(reader); error) {
+        if (error = finishReading(reader); error) {
             return error;
         }
     }
@@ -135,7 +136,7 @@
 {
     JsonReader top{json, "accounts", ""};
     const auto &accounts = top.object("accounts");
-    if (auto error = outcomeOf(top)) {
+    if (auto error = finishReading(top)) {
         return error;
     }
     return forEachEntry(accounts, "accounts", "/accounts", [&](const auto &name, auto &reader) {
@@ -151,7 +152,7 @@
 {
     JsonReader top{json, "keys", ""};
     const auto &keys = top.object("keys");
-    if (auto error = outcomeOf(top)) {
+    if (auto error = finishReading(top)) {
         return error;
     }
     return forEachEntry(keys, "keys", "/keys", [&](const auto &name, auto &reader) {
@@ -164,7 +165,7 @@
             reader.fail(ConfigErrorCode::OutOfRange, "hash", "must be 64 hexadecimal digits");
         }
         if (name.find('.') != std::string::npos) {
-            reader.fail(ConfigErrorCode::OutOfRange, "", "a key id must hold no dot");
+            reader.fail(ConfigErrorCode::OutOfRange, "", "a key id must not contain a dot");
         }
         model.keys.emplace(name, std::move(key));
     });
@@ -176,7 +177,8 @@
     if (auto address = parseAddress(text)) {
         return *address;
     }
-    reader.fail(ConfigErrorCode::OutOfRange, name, "must be an IP number and port 1 to 65535");
+    reader.fail(ConfigErrorCode::OutOfRange, name,
+                "must be an IP address and a port from 1 to 65535");
     return {};
 }
 
@@ -184,7 +186,7 @@
 {
     JsonReader top{json, "servers", ""};
     const auto &servers = top.object("servers");
-    if (auto error = outcomeOf(top)) {
+    if (auto error = finishReading(top)) {
         return error;
     }
     return forEachEntry(servers, "servers", "/servers", [&](const auto &name, auto &reader) {
@@ -222,17 +224,17 @@
     }
     const auto bytes = document.parts.find(name);
     if (bytes == document.parts.end()) {
-        return ConfigError{ConfigErrorCode::MissingPart, name, "/", "the part was not delivered"};
+        return ConfigError{ConfigErrorCode::MissingPart, name, "/", "is missing from the document"};
     }
     if (bytes->second.size() > kMaxPartBytes) {
         return ConfigError{ConfigErrorCode::TooLarge, name, "/",
-                           "holds " + std::to_string(bytes->second.size())
+                           "has " + std::to_string(bytes->second.size())
                                    + " bytes, accepted range 0 to "
                                    + std::to_string(kMaxPartBytes)};
     }
     if (sha256Hex(bytes->second) != hash->second) {
         return ConfigError{ConfigErrorCode::HashMismatch, name, "/",
-                           "bytes differ from the manifest's hash"};
+                           "does not match the SHA-256 in the manifest"};
     }
     return std::nullopt;
 }
@@ -246,7 +248,7 @@
     }
     const auto json = Json::parse(document.parts.at(name), nullptr, false);
     if (json.is_discarded()) {
-        return ConfigError{ConfigErrorCode::Syntax, name, "/", "is no JSON document"};
+        return ConfigError{ConfigErrorCode::Syntax, name, "/", "is not valid JSON"};
     }
     return entry.read(json, model);
 }
@@ -257,7 +259,7 @@
         const auto known = std::find(kPartNames.begin(), kPartNames.end(), name);
         if (known == kPartNames.end()) {
             return ConfigError{ConfigErrorCode::UnknownMember, "manifest", "/parts/" + name,
-                               "is not known here"};
+                               "is not a known part"};
         }
         if (!value.is_string() || value.get_ref<const std::string &>().size() != kHashDigits) {
             return ConfigError{ConfigErrorCode::WrongType, "manifest", "/parts/" + name,
@@ -274,14 +276,14 @@
 {
     const auto json = nlohmann::json::parse(text, nullptr, false);
     if (json.is_discarded()) {
-        return ConfigError{ConfigErrorCode::Syntax, "manifest", "/", "is no JSON document"};
+        return ConfigError{ConfigErrorCode::Syntax, "manifest", "/", "is not valid JSON"};
     }
     JsonReader reader{json, "manifest", ""};
     Manifest manifest;
     manifest.version = static_cast<std::uint64_t>(
             reader.integer("version", 1, std::numeric_limits<std::int64_t>::max()));
     const auto &parts = reader.object("parts");
-    if (auto error = internal::outcomeOf(reader)) {
+    if (auto error = internal::finishReading(reader)) {
         return *error;
     }
     if (auto error = internal::readManifestParts(parts, manifest)) {
--- a/src/celeryramp/config/parse.h
+++ b/src/celeryramp/config/parse.h
@@ -10,8 +10,8 @@
 namespace celeryramp {
 
 /*!
- * @brief Reads a manifest from its published JSON text.
- * @return The manifest; `Syntax`, `WrongType`, `OutOfRange`, `UnknownMember` or `MissingPart`.
+ * @brief Parses a manifest from its published JSON text.
+ * @return The manifest, or a `Syntax`, `WrongType`, `OutOfRange` or `UnknownMember` error.
  */
 [[nodiscard]] Result<Manifest, ConfigError> parseManifest(std::string_view text);
 
@@ -19,12 +19,12 @@
 [[nodiscard]] std::string manifestText(const Manifest &manifest);
 
 /*!
- * @brief Validates a document wholly: sizes, hashes, types, ranges and references.
- * @return The snapshot to put in force, or the first error found.
+ * @brief Validates the sizes, hashes, types, ranges and references of a document.
+ * @return The snapshot of the document, or the first error found.
  */
 [[nodiscard]] Result<SnapshotPtr, ConfigError> buildSnapshot(const ConfigDocument &document);
 
-/*! @return A document whose manifest carries the right hashes of the given parts. */
+/*! @return A document of the given parts, with a manifest that holds their hashes. */
 [[nodiscard]] ConfigDocument makeDocument(std::uint64_t version,
                                           std::map<std::string, std::string> parts);
 
--- a/src/celeryramp/config/references.cpp
+++ b/src/celeryramp/config/references.cpp
@@ -6,8 +6,8 @@
 
 namespace internal {
 
-[[nodiscard]] ConfigError dangling(std::string part, std::string place, const std::string &what,
-                                   const std::string &name)
+[[nodiscard]] ConfigError danglingReference(std::string part, std::string place,
+                                            const std::string &what, const std::string &name)
 {
     return {ConfigErrorCode::DanglingReference, std::move(part), std::move(place),
             "there is no " + what + " named " + name};
@@ -17,10 +17,11 @@
 {
     for (const auto &[name, server] : model.servers) {
         if (model.services.count(server.service) == 0) {
-            return dangling("servers", "/servers/" + name + "/service", "service", server.service);
+            return danglingReference("servers", "/servers/" + name + "/service", "service",
+                                     server.service);
         }
         if (model.zones.count(server.zone) == 0) {
-            return dangling("servers", "/servers/" + name + "/zone", "zone", server.zone);
+            return danglingReference("servers", "/servers/" + name + "/zone", "zone", server.zone);
         }
     }
     return std::nullopt;
@@ -28,21 +29,22 @@
 
 [[nodiscard]] std::optional<ConfigError> checkRoutes(const ConfigModel &model)
 {
-    std::set<std::string> served;
+    std::set<std::string> servicesWithServers;
     for (const auto &[name, server] : model.servers) {
-        served.insert(server.service);
+        servicesWithServers.insert(server.service);
     }
     std::size_t i = 0;
     for (const auto &route : model.routes) {
         const auto place = "/routes/" + std::to_string(i++);
         if (model.services.count(route.service) == 0) {
-            return dangling("services", place + "/service", "service", route.service);
+            return danglingReference("services", place + "/service", "service", route.service);
         }
         if (model.classes.count(route.workClass) == 0) {
-            return dangling("services", place + "/class", "class", route.workClass);
+            return danglingReference("services", place + "/class", "class", route.workClass);
         }
-        if (served.count(route.service) == 0) {
-            return dangling("services", place + "/service", "server of a service", route.service);
+        if (servicesWithServers.count(route.service) == 0) {
+            return danglingReference("services", place + "/service", "server of the service",
+                                     route.service);
         }
     }
     return std::nullopt;
@@ -52,7 +54,7 @@
 {
     for (const auto &[id, key] : model.keys) {
         if (model.accounts.count(key.account) == 0) {
-            return dangling("keys", "/keys/" + id + "/account", "account", key.account);
+            return danglingReference("keys", "/keys/" + id + "/account", "account", key.account);
         }
     }
     return std::nullopt;
--- a/src/celeryramp/config/references.h
+++ b/src/celeryramp/config/references.h
@@ -8,8 +8,8 @@
 namespace celeryramp {
 
 /*!
- * @brief Looks for a name that refers to nothing, or a routed service without servers.
- * @return The first `DanglingReference`, or nothing when the model is closed.
+ * @brief Finds a reference to an undefined entity, or a routed service without servers.
+ * @return The first `DanglingReference` error, or nothing if all references resolve.
  */
 [[nodiscard]] std::optional<ConfigError> findDanglingReference(const ConfigModel &model);
 
--- a/src/celeryramp/config/route.h
+++ b/src/celeryramp/config/route.h
@@ -6,15 +6,15 @@
 
 /*! @brief Who may call a route. */
 enum class RouteAccess {
-    Account, /*!< Callers with a key of a client account. */
-    Open, /*!< Anybody, without a key. */
-    Internal /*!< Calls of backend servers only. */
+    Account, /*!< Callers that present a key of a client account. */
+    Open, /*!< Any caller; no key is required. */
+    Internal /*!< Backend servers only. */
 };
 
-/*! @brief Maps a path prefix to a service and a class of work. */
+/*! @brief Maps a path prefix to a service and a work class. */
 struct Route
 {
-    std::string path; /*!< Prefix of whole segments, such as `/stock`. */
+    std::string path; /*!< Prefix that matches complete path segments, such as `/stock`. */
     std::string service;
     std::string workClass;
     RouteAccess access = RouteAccess::Account;
--- a/src/celeryramp/config/snapshot.h
+++ b/src/celeryramp/config/snapshot.h
@@ -20,7 +20,7 @@
 
 namespace celeryramp {
 
-/*! @brief All entities of one configuration, as read from its parts. */
+/*! @brief Entities of one configuration, as read from its parts. */
 struct ConfigModel
 {
     std::map<std::string, AvailabilityZone> zones;
@@ -33,8 +33,8 @@
 };
 
 /*!
- * @brief Immutable, validated configuration with the lookups that requests need.
- * Built only from models that passed validation, so that no lookup meets a dangling name.
+ * @brief Immutable, validated configuration with lookups for request processing.
+ * It is built only from validated models, so every name in it resolves.
  */
 class Snapshot
 {
@@ -45,35 +45,37 @@
     [[nodiscard]] const ConfigStamp &stamp() const noexcept { return m_stamp; }
     [[nodiscard]] const ConfigModel &model() const noexcept { return m_model; }
 
-    /*! @return The route with the longest prefix of whole segments, or null. */
+    /*! @return The route with the longest prefix that matches complete path segments, or null. A
+     * query string in the path is ignored. */
     [[nodiscard]] const Route *findRoute(std::string_view path) const;
 
     /*!
-     * @brief Checks a presented key `id.secret` in constant time.
-     * @return The account the key belongs to, or null.
+     * @brief Verifies a key of the form `id.secret`; the hash comparison takes constant time.
+     * @return The account to which the key belongs, or null if the key is malformed, unknown or
+     * wrong.
      */
     [[nodiscard]] const ClientAccount *findAccountByKey(std::string_view presented) const;
 
-    /*! @return True when the key id is published and belongs to the account. */
+    /*! @return True if the key id is published and belongs to the account. */
     [[nodiscard]] bool isKeyGranted(const std::string &keyId, const std::string &account) const;
 
-    /*! @return Servers of one service in a zone; empty when there are none. */
+    /*! @return Servers of a service in a zone, in name order; empty if there are none. */
     [[nodiscard]] gsl::span<const BackendServer *const> serversOf(const std::string &service,
                                                                   const std::string &zone) const;
 
-    /*! @return Servers of one zone in name order. */
+    /*! @return Servers in a zone, in name order; empty if there are none. */
     [[nodiscard]] gsl::span<const BackendServer *const> serversIn(const std::string &zone) const;
 
-    /*! @return The server, or null. */
+    /*! @return The server, or null if it is not defined. */
     [[nodiscard]] const BackendServer *findServer(const std::string &name) const;
 
-    /*! @return The account, or null. */
+    /*! @return The account, or null if it is not defined. */
     [[nodiscard]] const ClientAccount *findAccount(const std::string &name) const;
 
-    /*! @return The class of work, or null. */
+    /*! @return The work class, or null if it is not defined. */
     [[nodiscard]] const WorkClass *findClass(const std::string &name) const;
 
-    /*! @return True when the zone is known and in service. */
+    /*! @return True if the zone is defined and in service. */
     [[nodiscard]] bool isZoneInService(const std::string &zone) const;
 
 private:
@@ -86,7 +88,7 @@
     std::map<std::string, ServerList> m_byZone;
 };
 
-/*! @brief Shared ownership of the snapshot that a request started with. */
+/*! @brief Shared ownership of a snapshot, so that it outlives its replacement while in use. */
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
 } // namespace celeryramp
--- a/src/celeryramp/config/work_class.h
+++ b/src/celeryramp/config/work_class.h
@@ -8,19 +8,20 @@
 
 /*! @brief Whether a request may be executed more than once. */
 enum class RepeatSafety {
-    Idempotent, /*!< Executing again changes nothing. */
-    AtMostOnce /*!< Must never be executed a second time. */
+    Idempotent, /*!< A repeated execution has no further effect. */
+    AtMostOnce /*!< Must not be executed a second time. */
 };
 
-/*! @brief A class of work with the targets that operators set for it. */
+/*! @brief Targets and retry policy for a class of requests, as set by operators. */
 struct WorkClass
 {
     std::string name;
-    Millis latency{0}; /*!< Answers later than this miss the target. */
-    double success = 0.0; /*!< Share of calls to be answered within the latency, 0 to 1. */
+    Millis latency{0}; /*!< Latency target in milliseconds. */
+    double success = 0.0; /*!< Target share of calls answered within `latency`, 0 to 1. */
     RepeatSafety repeat = RepeatSafety::AtMostOnce;
-    Millis deadline{0}; /*!< A call is given up after this long. */
-    Millis keyFreshness{0}; /*!< Oldest configuration that keys are believed from; 0 for any. */
+    Millis deadline{0}; /*!< Time after which a call is abandoned, in milliseconds. */
+    Millis keyFreshness{0}; /*!< Maximum time in ms since the configuration was last confirmed, for
+                               accepting keys; 0: no limit. */
 };
 
 } // namespace celeryramp
--- a/test/config/acceptance.cpp
+++ b/test/config/acceptance.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/*! The same version with other content: another rate. */
+/*! Returns a document of the given version whose account rate is higher by `n`. */
 ConfigDocument variant(std::uint64_t version, int n)
 {
     testsupport::SampleShape shape;
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("versions only go up")
+TEST_CASE("the version in force only increases")
 {
     Acceptance acceptance;
     REQUIRE(acceptance.offer(sampleDocument(2), at(0)));
@@ -32,7 +32,7 @@
     REQUIRE(acceptance.stamp().version == 3);
 }
 
-TEST_CASE("a bad version changes nothing and is remembered with its reason")
+TEST_CASE("an invalid document changes nothing and its rejection is recorded with the reason")
 {
     Acceptance acceptance;
     REQUIRE(acceptance.offer(sampleDocument(1), at(0)));
@@ -48,21 +48,21 @@
     REQUIRE(acceptance.offer(sampleDocument(3), at(2)));
 }
 
-TEST_CASE("the same version with other content ends the same on every node")
+TEST_CASE("two documents of the same version give the same result in either order")
 {
     const auto one = variant(5, 1);
     const auto two = variant(5, 2);
-    Acceptance forwards;
-    Acceptance backwards;
-    static_cast<void>(forwards.offer(one, at(0)));
-    static_cast<void>(forwards.offer(two, at(1)));
-    static_cast<void>(backwards.offer(two, at(0)));
-    static_cast<void>(backwards.offer(one, at(1)));
-    REQUIRE(forwards.stamp() == backwards.stamp());
-    REQUIRE(forwards.rejections().size() + backwards.rejections().size() == 1);
+    Acceptance firstThenSecond;
+    Acceptance secondThenFirst;
+    static_cast<void>(firstThenSecond.offer(one, at(0)));
+    static_cast<void>(firstThenSecond.offer(two, at(1)));
+    static_cast<void>(secondThenFirst.offer(two, at(0)));
+    static_cast<void>(secondThenFirst.offer(one, at(1)));
+    REQUIRE(firstThenSecond.stamp() == secondThenFirst.stamp());
+    REQUIRE(firstThenSecond.rejections().size() + secondThenFirst.rejections().size() == 1);
 }
 
-TEST_CASE("whatever is offered, the order never goes back and ends at the highest good version")
+TEST_CASE("for random offers the stamp never decreases and ends at the highest valid one")
 {
     REQUIRE(rc::check("random offers", [] {
         Acceptance acceptance;
@@ -71,16 +71,16 @@
                 rc::gen::tuple(rc::gen::inRange(1, 6), rc::gen::inRange(0, 3),
                                rc::gen::arbitrary<bool>()));
         std::int64_t now = 0;
-        for (const auto &[version, content, good] : offers) {
+        for (const auto &[version, content, valid] : offers) {
             auto document = variant(static_cast<std::uint64_t>(version), content);
-            if (!good) {
+            if (!valid) {
                 document.parts["zones"] += "!";
             }
             const auto stamp = document.stamp();
             const auto before = acceptance.stamp();
             static_cast<void>(acceptance.offer(document, at(++now)));
             RC_ASSERT(!(acceptance.stamp() < before));
-            if (good && highest < stamp) {
+            if (valid && highest < stamp) {
                 highest = stamp;
             }
             RC_ASSERT(acceptance.stamp() == highest);
--- a/test/config/delta.cpp
+++ b/test/config/delta.cpp
@@ -6,7 +6,7 @@
 
 using namespace celeryramp;
 
-TEST_CASE("a delta rebuilds the target and is smaller than the whole")
+TEST_CASE("a delta rebuilds the target and is smaller than the complete document")
 {
     testsupport::SampleShape large{3, 40, 100.0, 50.0};
     const auto base = testsupport::sampleDocument(1, large);
@@ -20,7 +20,7 @@
     REQUIRE(rebuilt->stamp() == target.stamp());
 }
 
-TEST_CASE("a delta on the wrong base is refused")
+TEST_CASE("a delta for another base is rejected")
 {
     const auto base = testsupport::sampleDocument(1, {3, 2, 100.0, 50.0});
     const auto other = testsupport::sampleDocument(1, {2, 2, 100.0, 50.0});
@@ -28,7 +28,7 @@
     REQUIRE_FALSE(applyDelta(other, makeDelta(base, target)));
 }
 
-TEST_CASE("a part that is not canonical travels whole")
+TEST_CASE("a part that is not canonical JSON is sent in full")
 {
     const auto base = testsupport::sampleDocument(1);
     auto parts = testsupport::sampleParts();
@@ -39,7 +39,7 @@
     REQUIRE(rebuilt->parts == target.parts);
 }
 
-TEST_CASE("no bytes break the unpacking")
+TEST_CASE("no bytes break unpackDocument or applyDelta")
 {
     REQUIRE(rc::check("random bytes", [](const std::string &bytes) {
         const auto base = testsupport::sampleDocument(1);
--- a/test/config/parse.cpp
+++ b/test/config/parse.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/*! Builds a document with one part changed, and returns the error. */
+/*! Changes one part of a sample document and returns the validation error. */
 ConfigError errorOf(const std::string &part, const std::function<void(json &)> &change)
 {
     auto parts = sampleParts();
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("a good document becomes a snapshot")
+TEST_CASE("a valid document gives a snapshot")
 {
     const auto snapshot = testsupport::sampleSnapshot(7);
     REQUIRE(snapshot);
@@ -41,7 +41,7 @@
     REQUIRE_FALSE(snapshot->isZoneInService("nowhere"));
 }
 
-TEST_CASE("keys are checked against their salted hash")
+TEST_CASE("keys are verified against their salted hash")
 {
     const auto snapshot = testsupport::sampleSnapshot(1);
     REQUIRE(snapshot->findAccountByKey("k1.secret")->name == "acme");
@@ -53,7 +53,7 @@
     REQUIRE_FALSE(snapshot->isKeyGranted("k1", "other"));
 }
 
-TEST_CASE("each error names part, place and reason")
+TEST_CASE("each error has a part and place and reason")
 {
     SECTION("a wrong type")
     {
@@ -75,7 +75,7 @@
         REQUIRE(error.code == ConfigErrorCode::UnknownMember);
         REQUIRE(error.place == "/zones/z0/weight");
     }
-    SECTION("a server in a zone that is not there")
+    SECTION("a server in an undefined zone")
     {
         const auto error
                 = errorOf("servers", [](json &part) { part["servers"]["s-z0-0"]["zone"] = "z9"; });
@@ -94,12 +94,12 @@
         REQUIRE(error.code == ConfigErrorCode::DanglingReference);
         REQUIRE(error.place == "/routes/3/service");
     }
-    SECTION("a key of an account that is not there")
+    SECTION("a key of an undefined account")
     {
         const auto error = errorOf("keys", [](json &part) { part["keys"]["k1"]["account"] = "x"; });
         REQUIRE(error.code == ConfigErrorCode::DanglingReference);
     }
-    SECTION("an address that is no IP number")
+    SECTION("an address that is not an IP address")
     {
         const auto error = errorOf("servers", [](json &part) {
             part["servers"]["s-z0-0"]["node"] = "host.example:1";
@@ -114,7 +114,7 @@
     }
 }
 
-TEST_CASE("truncated, missing, mis-hashed and oversized parts are refused")
+TEST_CASE("truncated or missing or mis-hashed or oversized parts are rejected")
 {
     SECTION("truncated")
     {
@@ -128,7 +128,7 @@
         parts.erase("keys");
         REQUIRE(buildSnapshot(makeDocument(1, parts)).error().code == ConfigErrorCode::MissingPart);
     }
-    SECTION("not delivered")
+    SECTION("missing from the document")
     {
         auto document = testsupport::sampleDocument(1);
         document.parts.erase("keys");
@@ -148,7 +148,7 @@
     }
 }
 
-TEST_CASE("a manifest survives the way to text and back")
+TEST_CASE("a manifest survives a round trip through its text")
 {
     const auto manifest = testsupport::sampleDocument(5).manifest;
     const auto again = parseManifest(manifestText(manifest));
@@ -162,7 +162,7 @@
     }
 }
 
-TEST_CASE("no bytes in a part break the reader, and what it accepts has no dangling names")
+TEST_CASE("no bytes in a part break the parser and accepted documents have no dangling names")
 {
     REQUIRE(rc::check("mutated parts", [] {
         auto parts = sampleParts();
