--- a/test/config/acceptance_model.cpp
+++ b/test/config/acceptance_model.cpp
@@ -12,17 +12,22 @@
 using testsupport::at;
 
 /*
- * Every schedule of two nodes and a platform at small size: publications, a platform that turns
- * stale and recovers, reads, pulls between the nodes, a cut between them, restarts. A node that
- * restarts asks the platform and its peer before it serves, as the control duty does. What
- * acceptance does with each offer is taken from the real class.
+ * Explores every interleaving of a small model of two nodes and a platform: publications, a
+ * platform that serves an old version and recovers, reads from the platform, pulls between the
+ * nodes, a partition between the nodes, and restarts. A restarted node asks the platform and its
+ * peer before it serves, as nodes do. The result of each offer comes from
+ * the real Acceptance class.
+ *
+ * The test guards against a slot that serves an older version after a restart: a stale platform
+ * offers an old version, and the node uses it although its peer has a newer one.
  */
 
 namespace {
 
 constexpr int kVersions = 3;
 
-/*! Version in force after an offer, by the real acceptance: rows have, columns offered. */
+/*! Version in force after an offer to the real Acceptance, by version in force and version offered.
+ */
 using OfferTable = std::array<std::array<int, kVersions + 1>, kVersions + 1>;
 
 OfferTable tabulate()
@@ -46,161 +51,168 @@
     return table;
 }
 
-struct NodeModel
+struct NodeState
 {
     int inForce = 0;
     bool askedPlatform = false;
     bool askedPeer = false;
-    int highestServed = 0; /*!< By any incarnation in this slot. */
-    int inReach = 0; /*!< What the peer had at this start, if it stayed up and in reach since. */
+    int highestServed = 0; /*!< Highest version served by any incarnation in this slot. */
+    /*! Version of the peer when this node started; 0 if the peer has restarted or been partitioned
+     * since. */
+    int reachablePeerVersion = 0;
 
     [[nodiscard]] auto key() const
     {
-        return std::make_tuple(inForce, askedPlatform, askedPeer, highestServed, inReach);
+        return std::make_tuple(inForce, askedPlatform, askedPeer, highestServed,
+                               reachablePeerVersion);
     }
 };
 
-struct World
+struct SystemState
 {
     int published = 1;
-    int frozen = 0; /*!< What a stale platform serves; 0 when it is not stale. */
-    bool cut = false;
-    std::array<NodeModel, 2> nodes;
+    int staleVersion = 0; /*!< Version that a stale platform serves; 0 if it is not stale. */
+    bool partitioned = false;
+    std::array<NodeState, 2> nodes;
 
-    [[nodiscard]] int served() const { return frozen == 0 ? published : frozen; }
+    [[nodiscard]] int served() const { return staleVersion == 0 ? published : staleVersion; }
     [[nodiscard]] auto key() const
     {
-        return std::make_tuple(published, frozen, cut, nodes[0].key(), nodes[1].key());
+        return std::make_tuple(published, staleVersion, partitioned, nodes[0].key(),
+                               nodes[1].key());
     }
 };
 
-struct Findings
+struct SearchResult
 {
     std::size_t states = 0;
-    int wentBack = 0; /*!< A slot served an older version though a source in reach knew better. */
-    int dropped = 0; /*!< A running process lowered its version. */
+    int regressions = 0; /*!< Times a slot served an older version although its reachable peer had a
+                            newer one. */
+    int downgrades = 0; /*!< Times a running process lowered its version. */
 };
 
-class Search
+class StateSearch
 {
 public:
-    explicit Search(bool peersFirst) : m_peersFirst{peersFirst} { }
+    explicit StateSearch(bool askPeerFirst) : m_askPeerFirst{askPeerFirst} { }
 
-    Findings run()
+    SearchResult run()
     {
-        visit(World{});
-        while (!m_open.empty()) {
-            const auto world = m_open.front();
-            m_open.pop_front();
-            expand(world);
+        visit(SystemState{});
+        while (!m_frontier.empty()) {
+            const auto state = m_frontier.front();
+            m_frontier.pop_front();
+            expand(state);
         }
-        m_findings.states = m_seen.size();
-        return m_findings;
+        m_result.states = m_visited.size();
+        return m_result;
     }
 
 private:
-    void visit(const World &world)
+    void visit(const SystemState &state)
     {
-        if (m_seen.insert(world.key()).second) {
-            m_open.push_back(world);
+        if (m_visited.insert(state.key()).second) {
+            m_frontier.push_back(state);
         }
     }
 
-    void expand(const World &world)
+    void expand(const SystemState &state)
     {
-        if (world.published < kVersions) {
-            auto next = world;
+        if (state.published < kVersions) {
+            auto next = state;
             ++next.published;
             visit(next);
         }
-        // A stale platform may serve any version it ever had, as a replica that lags.
-        for (int version = 0; version < world.published; ++version) {
-            auto stale = world;
-            stale.frozen = version;
+        // A stale platform may serve any earlier version, like a lagging replica.
+        for (int version = 0; version < state.published; ++version) {
+            auto stale = state;
+            stale.staleVersion = version;
             visit(stale);
         }
-        auto cut = world;
-        cut.cut = !world.cut;
-        for (auto &node : cut.nodes) {
-            node.inReach = 0;
+        auto toggled = state;
+        toggled.partitioned = !state.partitioned;
+        for (auto &node : toggled.nodes) {
+            node.reachablePeerVersion = 0;
         }
-        visit(cut);
-        for (std::size_t i = 0; i < world.nodes.size(); ++i) {
-            read(world, i);
-            pull(world, i);
-            restart(world, i);
+        visit(toggled);
+        for (std::size_t i = 0; i < state.nodes.size(); ++i) {
+            read(state, i);
+            pull(state, i);
+            restart(state, i);
         }
     }
 
-    void offer(NodeModel &node, int version)
+    void offer(NodeState &node, int version)
     {
         const auto before = node.inForce;
         node.inForce = m_table[static_cast<std::size_t>(before)][static_cast<std::size_t>(version)];
-        m_findings.dropped += node.inForce < before ? 1 : 0;
+        m_result.downgrades += node.inForce < before ? 1 : 0;
     }
 
-    void read(World world, std::size_t i)
+    void read(SystemState state, std::size_t i)
     {
-        auto &node = world.nodes[i];
+        auto &node = state.nodes[i];
         node.askedPlatform = true;
-        offer(node, world.served());
-        serve(world, i);
+        offer(node, state.served());
+        serve(state, i);
     }
 
-    void pull(World world, std::size_t i)
+    void pull(SystemState state, std::size_t i)
     {
-        if (world.cut) {
+        if (state.partitioned) {
             return;
         }
-        auto &node = world.nodes[i];
+        auto &node = state.nodes[i];
         node.askedPeer = true;
-        offer(node, world.nodes[1 - i].inForce);
-        serve(world, i);
+        offer(node, state.nodes[1 - i].inForce);
+        serve(state, i);
     }
 
-    void restart(World world, std::size_t i)
+    void restart(SystemState state, std::size_t i)
     {
-        auto &node = world.nodes[i];
-        auto &peer = world.nodes[1 - i];
-        node = NodeModel{0, false, false, node.highestServed, world.cut ? 0 : peer.inForce};
-        peer.inReach = 0;
-        visit(world);
+        auto &node = state.nodes[i];
+        auto &peer = state.nodes[1 - i];
+        node = NodeState{0, false, false, node.highestServed, state.partitioned ? 0 : peer.inForce};
+        peer.reachablePeerVersion = 0;
+        visit(state);
     }
 
-    void serve(World &world, std::size_t i)
+    void serve(SystemState &state, std::size_t i)
     {
-        auto &node = world.nodes[i];
-        const bool ready = node.askedPlatform && (node.askedPeer || world.cut || !m_peersFirst);
+        auto &node = state.nodes[i];
+        const bool ready
+                = node.askedPlatform && (node.askedPeer || state.partitioned || !m_askPeerFirst);
         if (ready && node.inForce > 0) {
-            const bool wentBack = node.inForce < node.highestServed;
-            m_findings.wentBack += wentBack && node.inReach >= node.highestServed ? 1 : 0;
+            const bool isOlder = node.inForce < node.highestServed;
+            m_result.regressions
+                    += isOlder && node.reachablePeerVersion >= node.highestServed ? 1 : 0;
             node.highestServed = std::max(node.highestServed, node.inForce);
         }
-        visit(world);
+        visit(state);
     }
 
-    bool m_peersFirst;
+    bool m_askPeerFirst;
     OfferTable m_table = tabulate();
-    std::set<decltype(World{}.key())> m_seen;
-    std::deque<World> m_open;
-    Findings m_findings;
+    std::set<decltype(SystemState{}.key())> m_visited;
+    std::deque<SystemState> m_frontier;
+    SearchResult m_result;
 };
 
 } // namespace
 
-TEST_CASE(
-        "in every schedule of two nodes and a platform no process lowers its version, and no slot "
-        "serves less than it did when a source in reach knew better")
+TEST_CASE("in every interleaving of two nodes and a platform no process lowers its version and no "
+          "slot "
+          "serves an older version than before while its reachable peer has a newer one")
 {
-    const auto findings = Search{true}.run();
-    REQUIRE(findings.states > 1000);
-    REQUIRE(findings.dropped == 0);
-    REQUIRE(findings.wentBack == 0);
+    const auto result = StateSearch{true}.run();
+    REQUIRE(result.states > 1000);
+    REQUIRE(result.downgrades == 0);
+    REQUIRE(result.regressions == 0);
 }
 
-TEST_CASE("the same search finds slots that go back when peers are not asked first")
+TEST_CASE("the same search finds slots that serve an older version if peers are not asked first")
 {
-    const auto findings = Search{false}.run();
-    REQUIRE(findings.dropped == 0);
-    REQUIRE(findings.wentBack > 0);
+    const auto result = StateSearch{false}.run();
+    REQUIRE(result.downgrades == 0);
+    REQUIRE(result.regressions > 0);
 }
