--- a/src/celeryramp/config/availability_zone.h
+++ b/src/celeryramp/config/availability_zone.h
@@ -7,7 +7,7 @@
 /*! @brief Whether a zone accepts new requests. */
 enum class ZoneStatus { InService, OutOfService };
 
-/*! @brief A group of servers that shares failures and is taken out of service as a unit. */
+/*! @brief A part of the site that fails and is maintained as a unit. */
 struct AvailabilityZone
 {
     std::string name;
--- a/src/celeryramp/config/client_account.h
+++ b/src/celeryramp/config/client_account.h
@@ -4,7 +4,7 @@
 
 namespace celeryramp {
 
-/*! @brief An account of callers and its rate limit across all nodes. */
+/*! @brief A customer of the mesh and its rate limit across all nodes. */
 struct ClientAccount
 {
     std::string name;
--- a/src/celeryramp/config/snapshot.h
+++ b/src/celeryramp/config/snapshot.h
@@ -88,7 +88,7 @@
     std::map<std::string, ServerList> m_byZone;
 };
 
-/*! @brief Shared ownership of a snapshot, so that it outlives its replacement while in use. */
+/*! @brief Shared ownership of a snapshot; a request keeps the one with which it started. */
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
 } // namespace celeryramp
--- a/src/celeryramp/config/work_class.h
+++ b/src/celeryramp/config/work_class.h
@@ -16,7 +16,7 @@
 struct WorkClass
 {
     std::string name;
-    Millis latency{0}; /*!< Latency target in milliseconds. */
+    Millis latency{0}; /*!< Latency target; slower answers miss it. */
     double success = 0.0; /*!< Target share of calls answered within `latency`, 0 to 1. */
     RepeatSafety repeat = RepeatSafety::AtMostOnce;
     Millis deadline{0}; /*!< Time after which a call is abandoned, in milliseconds. */
--- a/src/celeryramp/node/call_handler.cpp
+++ b/src/celeryramp/node/call_handler.cpp
@@ -418,9 +418,8 @@
         m_router.onNoAnswer(server, now);
         return internal::failedAnswer(message, Outcome::Unknown, Reason::NoAnswer);
     }
-    const bool isOwn
-            = answer->request
-                      .empty(); // created by this node; answers from peers always have a request ID
+    // Answers that this node creates have no request ID; answers from peers always have one.
+    const bool isOwn = answer->request.empty();
     const bool whole = answer->request == message.request
             && answer->bodyHash == stableHash(answer->body.data);
     if (!isOwn && !whole) {
--- a/test/config/acceptance_model.cpp
+++ b/test/config/acceptance_model.cpp
@@ -15,8 +15,8 @@
  * Explores every interleaving of a small model of two nodes and a platform: publications, a
  * platform that serves an old version and recovers, reads from the platform, pulls between the
  * nodes, a partition between the nodes, and restarts. A restarted node asks the platform and its
- * peer before it serves, as nodes do. The result of each offer comes from
- * the real Acceptance class.
+ * peer before it serves, as the control service of a node does. The result of each offer comes
+ * from the real Acceptance class.
  *
  * The test guards against a slot that serves an older version after a restart: a stale platform
  * offers an old version, and the node uses it although its peer has a newer one.
