--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -127,17 +127,17 @@
 void admitFromPurse(benchmark::State &state)
 {
     const auto snapshot = snapshotOf(1400, static_cast<int>(state.range(0)));
-    TokenCache wallet{"zone-0"};
+    TokenCache tokenCache{"zone-0"};
     auto now = Clock::now();
-    wallet.onSnapshot(snapshot, now);
+    tokenCache.onSnapshot(snapshot, now);
     const auto &account = *snapshot->findAccount("account-1");
     std::vector<std::string> tried;
     for (auto _ : state) {
         tried.clear();
         now += Micros{1};
-        auto result = wallet.admit(account, tried, now);
+        auto result = tokenCache.admit(account, tried, now);
         if (result.request) {
-            wallet.onGrant(result.request->id, {result.request->amount, 0, Millis{500}}, now);
+            tokenCache.onGrant(result.request->id, {result.request->amount, 0, Millis{500}}, now);
         }
     }
 }
@@ -160,7 +160,7 @@
     const auto snapshot = snapshotOf(1400, 8);
     Gate gate{"server-0", 12, 256};
     const std::set<std::string> quarantined;
-    const GateInputs around{snapshot.get(), false, &quarantined, 0};
+    const GateInputs inputs{snapshot.get(), false, &quarantined, 0};
     const auto now = Clock::now();
     QueuedCall call;
     call.call.service = "service-0";
@@ -168,8 +168,8 @@
     call.deadline = now + Millis{1000};
     std::vector<Refusal> refusals;
     for (auto _ : state) {
-        benchmark::DoNotOptimize(gate.offer(call, around, now));
-        const auto next = gate.next(around, now, refusals);
+        benchmark::DoNotOptimize(gate.offer(call, inputs, now));
+        const auto next = gate.next(inputs, now, refusals);
         benchmark::DoNotOptimize(next);
         gate.finished(Evidence::InTarget, Micros{1000}, 0, now);
     }
--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -90,9 +90,9 @@
         for (const auto &[name, server] : m_snapshot->model().servers) {
             m_zones[name] = server.zone;
             m_minters.emplace(name, Minter{name});
-            m_wallets.emplace(name, TokenCache{server.zone});
+            m_tokenCaches.emplace(name, TokenCache{server.zone});
             m_minters.at(name).onSnapshot(m_snapshot, at(0));
-            m_wallets.at(name).onSnapshot(m_snapshot, at(0));
+            m_tokenCaches.at(name).onSnapshot(m_snapshot, at(0));
         }
     }
 
@@ -183,7 +183,7 @@
                bool fits, std::int64_t until)
     {
         const auto &found = *m_snapshot->findAccount(account);
-        auto &wallet = m_wallets.at(entry);
+        auto &wallet = m_tokenCaches.at(entry);
         const auto result = wallet.admit(found, tried, at(m_now));
         if (result.request) {
             ask(
@@ -210,7 +210,7 @@
         if (m_cut.parts(m_zones.at(entry), m_zones.at(ask.minter), seconds)) {
             // The link is cut: nothing comes back, and the call waits its time.
             schedule(m_now + kTokenWaitMicros, [this, ask, entry, then = std::move(then)] {
-                m_wallets.at(entry).onUnreachable(ask.id, at(m_now));
+                m_tokenCaches.at(entry).onUnreachable(ask.id, at(m_now));
                 if (then) {
                     then();
                 }
@@ -221,7 +221,7 @@
         schedule(m_now + way, [this, ask, entry, way, then = std::move(then)] {
             const auto grant = m_minters.at(ask.minter).grant(ask.account, ask.amount, at(m_now));
             schedule(m_now + way, [this, ask, entry, grant, then] {
-                m_wallets.at(entry).onGrant(ask.id, grant, at(m_now));
+                m_tokenCaches.at(entry).onGrant(ask.id, grant, at(m_now));
                 if (then) {
                     then();
                 }
@@ -234,7 +234,7 @@
     SnapshotPtr m_snapshot;
     std::map<std::string, std::string> m_zones;
     std::map<std::string, Minter> m_minters;
-    std::map<std::string, TokenCache> m_wallets;
+    std::map<std::string, TokenCache> m_tokenCaches;
     std::priority_queue<Event> m_events;
     std::map<std::uint64_t, std::function<void()>> m_actions;
     std::uint64_t m_lastAction = 0;
--- a/src/celeryramp/engine/peer_coordinator.cpp
+++ b/src/celeryramp/engine/peer_coordinator.cpp
@@ -14,14 +14,14 @@
  * goes out on each tick: an account with a sudden burst is admitted in full until its usage has
  * reached the other zones and theirs has come back. */
 constexpr Millis kZoneReportInterval{200};
-/*! A node or zone counts as quiet when it has had no demand of accounts for this long. */
-constexpr Millis kQuietAfter{5000};
-/*! Time between reports of a quiet zone. Without them, the other zones would treat it as
+/*! A node or zone counts as idle when it has had no demand of accounts for this long. */
+constexpr Millis kIdleAfter{5000};
+/*! Time between reports of an idle zone. Without them, the other zones would treat it as
  *  partitioned. */
-constexpr Millis kQuietZoneReportInterval{2000};
-/*! Time between reports of a quiet node. The replies confirm its replica. Together with the pause
+constexpr Millis kIdleZoneReportInterval{2000};
+/*! Time between reports of an idle node. The replies confirm its replica. Together with the pause
  * of readers this keeps the replica younger than the age from which the node reads for itself. */
-constexpr Millis kQuietNodeReportInterval{500};
+constexpr Millis kIdleNodeReportInterval{500};
 /*! Size in bytes above which changes are only announced and each node reads them itself. A reader's
  *  10 Mbit/s link sends this size to 20 nodes in a second; the platform's link is 100 times faster.
  */
@@ -242,8 +242,8 @@
     }
     if (!isAggregator) {
         // Even an empty report requests the levels and a confirmation of the replica.
-        const bool isQuiet = millisBetween(m_lastDemandAt, now) >= internal::kQuietAfter;
-        if (!isQuiet || millisBetween(m_lastReportAt, now) >= internal::kQuietNodeReportInterval) {
+        const bool isIdle = millisBetween(m_lastDemandAt, now) >= internal::kIdleAfter;
+        if (!isIdle || millisBetween(m_lastReportAt, now) >= internal::kIdleNodeReportInterval) {
             m_lastReportAt = now;
             report.sentAt = now.time_since_epoch().count();
             send(aggregator, report, now);
@@ -264,13 +264,13 @@
     if (m_replica.view()->routing) {
         m_limiter.onLevels(m_usageAggregator.levels(*m_replica.view()->routing, now), now);
     }
-    const bool isQuiet = millisBetween(m_lastZoneDemandAt, now) > internal::kQuietAfter;
+    const bool isIdle = millisBetween(m_lastZoneDemandAt, now) > internal::kIdleAfter;
     if (millisBetween(m_lastZoneReportAt, now)
-        < (isQuiet ? internal::kQuietZoneReportInterval : internal::kZoneReportInterval)) {
+        < (isIdle ? internal::kIdleZoneReportInterval : internal::kZoneReportInterval)) {
         return;
     }
     m_lastZoneReportAt = now;
-    const auto zoneReport = m_usageAggregator.takeZoneReport(isQuiet);
+    const auto zoneReport = m_usageAggregator.takeZoneReport(isIdle);
     for (const auto &zone : zones()) {
         if (zone == m_settings.zone) {
             continue;
--- a/src/celeryramp/node/admission_controller.cpp
+++ b/src/celeryramp/node/admission_controller.cpp
@@ -64,13 +64,13 @@
     m_changed.notify_all();
 }
 
-void AdmissionController::sendTokenRequest(const TokenRequest &ask)
+void AdmissionController::sendTokenRequest(const TokenRequest &request)
 {
-    const auto link
-            = m_sender.post(ask.minter, TokenRequestMessage{ask.id, ask.account, ask.amount},
-                            tokenFor(TokenKind::TokenAsk, ask.id));
+    const auto link = m_sender.post(
+            request.minter, TokenRequestMessage{request.id, request.account, request.amount},
+            tokenFor(TokenKind::TokenAsk, request.id));
     if (link == 0) {
-        onUnsent(ask.id, Clock::now());
+        onUnsent(request.id, Clock::now());
     }
 }
 
--- a/src/celeryramp/node/admission_controller.h
+++ b/src/celeryramp/node/admission_controller.h
@@ -35,7 +35,7 @@
     void onUnsent(std::uint64_t id, TimePoint now);
 
 private:
-    void sendTokenRequest(const TokenRequest &ask);
+    void sendTokenRequest(const TokenRequest &request);
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
--- a/src/celeryramp/node/call_handler.cpp
+++ b/src/celeryramp/node/call_handler.cpp
@@ -246,7 +246,7 @@
     }
     const auto limit = call.workClass->keyFreshness;
     const bool isStale = limit.count() > 0 && m_nodeStatus.confirmedAgo(call.startedAt) > limit;
-    if (isStale || m_nodeStatus.doubtsKeys(call.startedAt)) {
+    if (isStale || m_nodeStatus.areKeysUntrusted(call.startedAt)) {
         return internal::notRun(Reason::KeysStale);
     }
     call.message.account = call.account->name;
--- a/src/celeryramp/node/call_handler.h
+++ b/src/celeryramp/node/call_handler.h
@@ -34,7 +34,7 @@
     [[nodiscard]] virtual Millis confirmedAgo(TimePoint now) const = 0;
 
     /*! @return True after the process was paused, until the configuration is confirmed again. */
-    [[nodiscard]] virtual bool doubtsKeys(TimePoint now) const = 0;
+    [[nodiscard]] virtual bool areKeysUntrusted(TimePoint now) const = 0;
 };
 
 /*!
--- a/src/celeryramp/node/control_service.cpp
+++ b/src/celeryramp/node/control_service.cpp
@@ -104,7 +104,7 @@
     return m_distributor.confirmedAgo(now);
 }
 
-bool ControlService::doubtsKeys(TimePoint now) const
+bool ControlService::areKeysUntrusted(TimePoint now) const
 {
     const std::lock_guard lock{m_mutex};
     return m_pauseGuard.areKeysUntrusted(now);
--- a/src/celeryramp/node/control_service.h
+++ b/src/celeryramp/node/control_service.h
@@ -83,7 +83,7 @@
     [[nodiscard]] Millis confirmedAgo(TimePoint now) const;
 
     /*! @return True after the process was paused, until the configuration is confirmed again. */
-    [[nodiscard]] bool doubtsKeys(TimePoint now) const;
+    [[nodiscard]] bool areKeysUntrusted(TimePoint now) const;
 
     /*! @return State for the operator port. */
     [[nodiscard]] nlohmann::json state(TimePoint now) const;
--- a/src/celeryramp/node/gate_worker_pool.cpp
+++ b/src/celeryramp/node/gate_worker_pool.cpp
@@ -53,7 +53,7 @@
       m_crashes{metrics.counter("gate_server_crashes_total")}, m_latency{metrics.latency(
                                                                        "gate_server_seconds")},
       m_gate{settings.server, settings.slots, settings.queueCapacity, settings.mechanisms},
-      m_crashWatch{settings.server}
+      m_crashTracker{settings.server}
 { }
 
 GateWorkerPool::~GateWorkerPool()
@@ -91,7 +91,7 @@
     {
         const std::lock_guard lock{m_mutex};
         refusals = m_gate.offer({std::move(call), link, now, deadline, dueAt},
-                                surroundings(snapshot, fleet), now);
+                                gateInputs(snapshot, fleet), now);
     }
     m_ready.notify_one();
     refuse(refusals);
@@ -161,13 +161,12 @@
     std::optional<QueuedCall> call;
     {
         std::unique_lock lock{m_mutex};
-        call = m_gate.next(surroundings(m_snapshot.get(), m_fleet.get()), Clock::now(), refusals);
+        call = m_gate.next(gateInputs(m_snapshot.get(), m_fleet.get()), Clock::now(), refusals);
         if (!call && refusals.empty() && !m_stopping) {
             const bool isQueued = m_gate.load().queued > 0;
             m_ready.wait_for(
                     lock, isQueued ? internal::kQueuedPollInterval : internal::kIdlePollInterval);
-            call = m_gate.next(surroundings(m_snapshot.get(), m_fleet.get()), Clock::now(),
-                               refusals);
+            call = m_gate.next(gateInputs(m_snapshot.get(), m_fleet.get()), Clock::now(), refusals);
         }
     }
     refuse(refusals);
@@ -201,7 +200,7 @@
     {
         const std::lock_guard lock{m_mutex};
         if (answer.outcome == Outcome::Answered) {
-            m_crashWatch.onAnswered(call.call.digest);
+            m_crashTracker.onAnswered(call.call.digest);
         }
         if (answer.reason == Reason::ServerLost || answer.reason == Reason::Unreachable) {
             m_gate.resetConcurrencyLimit(end);
@@ -264,15 +263,14 @@
     std::vector<Rumour> rumours;
     {
         const std::lock_guard lock{m_mutex};
-        rumours = m_crashWatch.onCrash({digest}, internal::wallMillis());
+        rumours = m_crashTracker.onCrash({digest}, internal::wallMillis());
     }
     logEvent(LogLevel::Warn, "gate", "server-lost",
              {{"server", m_settings.server}, {"suspects", std::to_string(rumours.size())}});
     m_onCrash(std::move(rumours));
 }
 
-GateInputs GateWorkerPool::surroundings(const SnapshotPtr &snapshot,
-                                        const FleetViewPtr &fleet) const
+GateInputs GateWorkerPool::gateInputs(const SnapshotPtr &snapshot, const FleetViewPtr &fleet) const
 {
     return {snapshot.get(), fleet->selfLeaving || fleet->superseded, &fleet->quarantined,
             m_contexts.waiting()};
--- a/src/celeryramp/node/gate_worker_pool.h
+++ b/src/celeryramp/node/gate_worker_pool.h
@@ -63,8 +63,8 @@
                                              Micros latency);
     void refuse(const std::vector<Refusal> &refusals);
     void reportCrash(const std::string &digest);
-    [[nodiscard]] GateInputs surroundings(const SnapshotPtr &snapshot,
-                                          const FleetViewPtr &fleet) const;
+    [[nodiscard]] GateInputs gateInputs(const SnapshotPtr &snapshot,
+                                        const FleetViewPtr &fleet) const;
 
     const NodeSettings &m_settings;
     const SharedValue<Snapshot> &m_snapshot;
@@ -79,7 +79,7 @@
     mutable std::mutex m_mutex;
     std::condition_variable m_ready;
     Gate m_gate;
-    CrashTracker m_crashWatch;
+    CrashTracker m_crashTracker;
     std::vector<std::thread> m_threads;
     bool m_stopping = false;
 };
--- a/src/celeryramp/node/node.cpp
+++ b/src/celeryramp/node/node.cpp
@@ -286,9 +286,9 @@
     return m_control.confirmedAgo(now);
 }
 
-bool Node::doubtsKeys(TimePoint now) const
+bool Node::areKeysUntrusted(TimePoint now) const
 {
-    return m_control.doubtsKeys(now);
+    return m_control.areKeysUntrusted(now);
 }
 
 nlohmann::json Node::status() const
--- a/src/celeryramp/node/node.h
+++ b/src/celeryramp/node/node.h
@@ -68,7 +68,7 @@
     [[nodiscard]] bool isReady(TimePoint now) const override;
     [[nodiscard]] bool isLeaving() const override { return m_leaving; }
     [[nodiscard]] Millis confirmedAgo(TimePoint now) const override;
-    [[nodiscard]] bool doubtsKeys(TimePoint now) const override;
+    [[nodiscard]] bool areKeysUntrusted(TimePoint now) const override;
 
     [[nodiscard]] nlohmann::json state() const override;
     [[nodiscard]] nlohmann::json status() const override;
--- a/src/celeryramp/proxy/frames.h
+++ b/src/celeryramp/proxy/frames.h
@@ -29,7 +29,8 @@
     int rank = 0; /*!< Priority; 0 is the most urgent. */
     bool isNested = false; /*!< Sent by a server that occupies a slot until the answer. */
     bool isIdempotent = false;
-    bool mayQueue = true; /*!< False: refuse it if the target cannot be met. */
+    bool mayQueue
+            = true; /*!< False: refuse it if the target cannot be met, as others can be asked. */
     http::Request request; /*!< Without hop-by-hop headers and credentials. */
 };
 
--- a/src/celeryramp/proxy/server_gate.cpp
+++ b/src/celeryramp/proxy/server_gate.cpp
@@ -33,7 +33,7 @@
 
 bool ServerGate::isLate(const GateCall &call, TimePoint now) const
 {
-    // A nested call has no target of its own that matters; it is late only near its deadline.
+    // A nested call counts as late only near its deadline, when the request that it serves is late.
     return now + minServiceTime() > (call.isNested ? call.deadline : call.target);
 }
 
--- a/src/celeryramp/proxy/server_gate.h
+++ b/src/celeryramp/proxy/server_gate.h
@@ -19,7 +19,8 @@
     std::uint64_t ticket = 0;
     int rank = 0; /*!< Priority; 0 is the most urgent. */
     bool isNested = false; /*!< Its caller is a server that occupies a slot meanwhile. */
-    bool mayBeLate = true; /*!< False: refuse it if its target cannot be met. */
+    bool mayBeLate
+            = true; /*!< False: refuse it if it would miss its target; others can be asked. */
     TimePoint arrived;
     TimePoint target;
     TimePoint deadline;
--- a/test/engine/engine.cpp
+++ b/test/engine/engine.cpp
@@ -181,7 +181,7 @@
 TEST_CASE("Without a configuration requests are refused and the node is not ready")
 {
     Mesh mesh{0};
-    test::TestDialect dialect;
+    test::TestHeaderAdapter headerAdapter;
     test::TextDecoder decoder;
     test::ScriptedSource source;
     engine::EngineSettings settings;
@@ -191,8 +191,9 @@
     settings.links = {"127.0.0.21", Mesh::kLinkPort};
     settings.readiness = {"127.0.0.21", Mesh::kReadinessPort};
     settings.backend = {"127.0.0.21", Mesh::kServerPort};
-    engine::Engine node{mesh.context, settings,
-                        engine::DeploymentBindings{dialect, decoder, source, "/ready", "/metrics"}};
+    engine::Engine node{
+            mesh.context, settings,
+            engine::DeploymentBindings{headerAdapter, decoder, source, "/ready", "/metrics"}};
     REQUIRE(node.start());
     auto outcome = std::make_shared<Outcome>();
     const auto ask = [&](std::uint16_t port, const char *target) {
--- a/test/platform/header_dialect.cpp
+++ b/test/platform/platform_header_adapter.cpp
@@ -1,4 +1,4 @@
-#include "header_dialect.h"
+#include "platform_header_adapter.h"
 
 #include <catch2/catch.hpp>
 
@@ -7,13 +7,14 @@
 
 TEST_CASE("Caller headers are parsed and invalid values are ignored")
 {
-    const HeaderDialect dialect;
-    const auto metadata = dialect.readCaller(
+    const PlatformHeaderAdapter headerAdapter;
+    const auto metadata = headerAdapter.readCaller(
             {{"attempt-id", "r1"}, {"Deadline-Ms", "1200"}, {"Authorization", "bearer k1"}});
     REQUIRE(metadata.requestId == "r1");
     REQUIRE(metadata.deadline == Millis{1200});
     REQUIRE(metadata.key == "k1");
-    const auto none = dialect.readCaller({{"Deadline-Ms", "-4"}, {"Authorization", "Basic k1"}});
+    const auto none
+            = headerAdapter.readCaller({{"Deadline-Ms", "-4"}, {"Authorization", "Basic k1"}});
     REQUIRE(none.requestId.empty());
     REQUIRE_FALSE(none.deadline);
     REQUIRE_FALSE(none.key);
@@ -21,7 +22,7 @@
 
 TEST_CASE("Forged mesh headers are replaced and the API key is not forwarded to the server")
 {
-    const HeaderDialect dialect;
+    const PlatformHeaderAdapter headerAdapter;
     proxy::CallFrame call;
     call.serverId = "i-1";
     call.account = "mill";
@@ -33,8 +34,8 @@
                             {"Deadline-Ms", "99999"},
                             {"Attempt-Id", "r1"},
                             {"X-Own", "kept"}};
-    dialect.stripCaller(call.request.headers);
-    const auto request = dialect.toServer(call, Millis{700});
+    headerAdapter.stripCaller(call.request.headers);
+    const auto request = headerAdapter.toServer(call, Millis{700});
     REQUIRE(http::findHeader(request.headers, "Tenant") == "mill");
     REQUIRE(http::countHeaders(request.headers, "Tenant") == 1);
     REQUIRE(http::findHeader(request.headers, "Caller-Service") == "stock");
@@ -45,32 +46,32 @@
     REQUIRE(http::findHeader(request.headers, "Attempt-Id") == "r1");
     REQUIRE(http::findHeader(request.headers, "X-Own") == "kept");
     call.account.clear();
-    REQUIRE(http::countHeaders(dialect.toServer(call, Millis{700}).headers, "Tenant") == 0);
+    REQUIRE(http::countHeaders(headerAdapter.toServer(call, Millis{700}).headers, "Tenant") == 0);
 }
 
 TEST_CASE(
         "Response headers tell whether the request ran and which server and request they belong to")
 {
-    const HeaderDialect dialect;
+    const PlatformHeaderAdapter headerAdapter;
     http::Answer answer;
     answer.status = 503;
     answer.headers = {{"Not-Executed", "1"}, {"Attempt-Id", "r1"}};
-    REQUIRE(dialect.readAnswer(answer).isNotRun);
-    REQUIRE_FALSE(dialect.readAnswer(answer).isSigned);
+    REQUIRE(headerAdapter.readAnswer(answer).isNotRun);
+    REQUIRE_FALSE(headerAdapter.readAnswer(answer).isSigned);
     answer.status = 421;
     answer.headers = {{"Instance-Id", "i-2"}};
-    REQUIRE(dialect.readAnswer(answer).isOtherServer);
-    REQUIRE(dialect.readAnswer(answer).serverId == "i-2");
+    REQUIRE(headerAdapter.readAnswer(answer).isOtherServer);
+    REQUIRE(headerAdapter.readAnswer(answer).serverId == "i-2");
     answer.status = 200;
     answer.headers = {{"Server-Stamp", "x"}, {"Cold-Ms", "1500"}};
-    REQUIRE(dialect.readAnswer(answer).isSigned);
-    REQUIRE(dialect.readAnswer(answer).coldFor == Millis{1500});
+    REQUIRE(headerAdapter.readAnswer(answer).isSigned);
+    REQUIRE(headerAdapter.readAnswer(answer).coldFor == Millis{1500});
 }
 
 TEST_CASE("Responses of the mesh carry the request id and Retry-After in seconds")
 {
-    const HeaderDialect dialect;
-    const auto answer = dialect.localAnswer({503, proxy::Reason::Busy, "r1", Millis{250}});
+    const PlatformHeaderAdapter headerAdapter;
+    const auto answer = headerAdapter.localAnswer({503, proxy::Reason::Busy, "r1", Millis{250}});
     REQUIRE(http::findHeader(answer.headers, "Retry-After") == "0.250");
     REQUIRE(http::findHeader(answer.headers, "Attempt-Id") == "r1");
     REQUIRE(http::countHeaders(answer.headers, "Server-Stamp") == 0);
--- a/test/support/mesh.cpp
+++ b/test/support/mesh.cpp
@@ -46,7 +46,7 @@
         settings.backend = {node->host, kServerPort};
         node->engine = std::make_unique<engine::Engine>(
                 context, settings,
-                engine::DeploymentBindings{m_dialect, m_decoder, node->source, "/ready",
+                engine::DeploymentBindings{m_headerAdapter, m_decoder, node->source, "/ready",
                                            "/metrics"});
         const auto started = node->engine->start();
         if (!started) {
--- a/test/support/mesh.h
+++ b/test/support/mesh.h
@@ -9,7 +9,7 @@
 #include "directory/item_sink.h"
 #include "engine/engine.h"
 #include "support/scripted_server.h"
-#include "support/test_dialect.h"
+#include "support/test_header_adapter.h"
 #include "support/text_decoder.h"
 
 namespace celeryramp::test {
@@ -86,7 +86,7 @@
     static constexpr std::uint16_t kServerPort = 17804;
 
 private:
-    TestDialect m_dialect;
+    TestHeaderAdapter m_headerAdapter;
     TextDecoder m_decoder;
     std::int64_t m_revision = 1;
     int m_nextRequest = 1;
--- a/test/support/test_dialect.cpp
+++ b/test/support/test_header_adapter.cpp
@@ -1,8 +1,8 @@
-#include "support/test_dialect.h"
+#include "support/test_header_adapter.h"
 
 namespace celeryramp::test {
 
-proxy::CallerMetadata TestDialect::readCaller(const http::Headers &headers) const
+proxy::CallerMetadata TestHeaderAdapter::readCaller(const http::Headers &headers) const
 {
     proxy::CallerMetadata metadata;
     metadata.requestId = http::findHeader(headers, "T-Request");
@@ -15,13 +15,13 @@
     return metadata;
 }
 
-void TestDialect::stripCaller(http::Headers &headers) const
+void TestHeaderAdapter::stripCaller(http::Headers &headers) const
 {
     http::eraseHeaders(headers, "T-Key");
     http::eraseHeaders(headers, "T-Deadline");
 }
 
-http::Request TestDialect::toServer(const proxy::CallFrame &call, Millis left) const
+http::Request TestHeaderAdapter::toServer(const proxy::CallFrame &call, Millis left) const
 {
     auto request = call.request;
     request.headers.push_back({"T-Deadline", std::to_string(left.count())});
@@ -30,7 +30,7 @@
     return request;
 }
 
-proxy::AnswerMetadata TestDialect::readAnswer(const http::Answer &answer) const
+proxy::AnswerMetadata TestHeaderAdapter::readAnswer(const http::Answer &answer) const
 {
     proxy::AnswerMetadata metadata;
     metadata.requestId = http::findHeader(answer.headers, "T-Request");
@@ -40,7 +40,7 @@
     return metadata;
 }
 
-http::Answer TestDialect::localAnswer(const proxy::LocalAnswer &local) const
+http::Answer TestHeaderAdapter::localAnswer(const proxy::LocalAnswer &local) const
 {
     http::Answer answer;
     answer.status = local.status;
@@ -48,7 +48,7 @@
     return answer;
 }
 
-http::Request TestDialect::healthProbe(const directory::Service & /*service*/) const
+http::Request TestHeaderAdapter::healthProbe(const directory::Service & /*service*/) const
 {
     http::Request request;
     request.method = "GET";
--- a/test/support/test_dialect.h
+++ b/test/support/test_header_adapter.h
@@ -6,7 +6,7 @@
 
 /*! @brief Header adapter of a fictitious deployment for engine tests; its headers start with `T-`.
  */
-class TestDialect final : public proxy::HeaderAdapter
+class TestHeaderAdapter final : public proxy::HeaderAdapter
 {
 public:
     [[nodiscard]] proxy::CallerMetadata readCaller(const http::Headers &headers) const override;
